--- a/src/decision/concurrency_cap.cpp
+++ b/src/decision/concurrency_cap.cpp
@@ -36,7 +36,7 @@
     : settings_(settings), meter_(meter), latency_(latency), random_(random) {
   for (const auto& plan : settings_.plans) {
     payingLoad_.emplace_back();
-    for (double tries = 1; plan.openLimit > 0 && tries <= kMaxSamples; ++tries)
+    for (double tries = 1; plan.maxInFlight > 0 && tries <= kMaxSamples; ++tries)
       payingLoad_.back().push_back(payingLoad(plan, tries));
   }
 }
@@ -45,18 +45,18 @@
 // that finds the cap free pays its worth, each beyond costs. What is out varies as chance has it, and what
 // the tenant asks for is known as well as so many tries tell it: the less they are, the less may be let in.
 double ConcurrencyCap::payingLoad(const PlanSettings& plan, double tries) {
-  const double cost = std::max(0.0, plan.overCost - plan.overWorth);
+  const double cost = std::max(0.0, plan.overQuotaCost - plan.overQuotaWeight);
   const auto gain = [&](double load) {
     const double odds = load / tries, chance = odds / (1 + odds);
     double term = std::pow(1 - chance, tries + 1), under = 0;
-    for (unsigned out = 0; out < plan.openLimit; ++out) {
+    for (unsigned out = 0; out < plan.maxInFlight; ++out) {
       under += term;
       term *= chance * (tries + 1 + out) / (out + 1);
     }
     return load * ((1 + cost) * under - cost);
   };
   double load = 0;
-  while (load < plan.openLimit && gain(load + kLoadStep) > gain(load)) load += kLoadStep;
+  while (load < plan.maxInFlight && gain(load + kLoadStep) > gain(load)) load += kLoadStep;
   return load;
 }
 
@@ -72,7 +72,7 @@
 double ConcurrencyCap::chanceOf(const Tenant& tenant, Time each) const {
   const double tries = tenant.requestedLoad / each + kLoadDoubt;
   const double usualLoad = kInitialLoad * payingLoad(tenant.plan, kMaxSamples);
-  const double load = tries / (tenant.requestedSpan / each / tenant.setSize + kLoadDoubt / usualLoad);
+  const double load = tries / (tenant.requestedSpan / each / tenant.gatewaySetSize + kLoadDoubt / usualLoad);
   return std::min(1.0, payingLoad(tenant.plan, tries) / load);
 }
 
@@ -99,17 +99,18 @@
 // for their turn in vain, chance decides instead.
 bool ConcurrencyCap::hasRoom(Tenant& tenant, const EngineRequest& request) {
   const PlanSettings& plan = settings_.plans[tenant.plan];
-  const unsigned even = plan.openLimit / tenant.setSize, rest = plan.openLimit % tenant.setSize,
-                 out = attemptsOut(tenant);
-  if (rest > 0 && 2 * rest < tenant.setSize)
-    return admitByChance(tenant, latency_.usual(request.klass, request.units)) && out <= even;
+  const unsigned even = plan.maxInFlight / tenant.gatewaySetSize,
+                 rest = plan.maxInFlight % tenant.gatewaySetSize, out = attemptsOut(tenant);
+  if (rest > 0 && 2 * rest < tenant.gatewaySetSize)
+    return admitByChance(tenant, latency_.usual(request.classIndex, request.units)) && out <= even;
   if (out != even || rest == 0) return out < even;
   const bool reached = tenant.reading >= 100 && tenant.updatedAt - tenant.readingAt <= kRecoverySpan;
   if (!reached) return true;
   const unsigned place =
-      (settings_.self + settings_.gateways - request.first % settings_.gateways) % settings_.gateways;
+      (settings_.gatewayIndex + settings_.gatewayCount - request.firstGateway % settings_.gatewayCount) %
+      settings_.gatewayCount;
   const auto turn = static_cast<std::uint64_t>(std::max(0.0, tenant.updatedAt) / kTurnSpan);
-  return (place + turn) % tenant.setSize < rest;
+  return (place + turn) % tenant.gatewaySetSize < rest;
 }
 
 bool ConcurrencyCap::admitByChance(Tenant& tenant, Time each) {
--- a/src/decision/concurrency_limiter.cpp
+++ b/src/decision/concurrency_limiter.cpp
@@ -36,7 +36,7 @@
 }  // namespace
 
 void ConcurrencyLimiter::start(std::size_t servers) {
-  if (limit_ <= 0) limit_ = kInitialLimit * static_cast<double>(servers) / settings_.gateways;
+  if (limit_ <= 0) limit_ = kInitialLimit * static_cast<double>(servers) / settings_.gatewayCount;
 }
 
 // A fraction of an attempt is kept by chance.
@@ -72,15 +72,15 @@
 // that is its own work and no wait. Without it a few large requests in the mix shut both limits for good.
 void ConcurrencyLimiter::steer(Server& server, Time now, const Attempt& attempt,
                                const AttemptOutcome& outcome) {
-  const Time aim = settings_.classes[attempt.klass].aim;
-  const Time ownWork =
-      std::max(0.0, latency_.usual(attempt.klass, attempt.units) - latency_.usual(attempt.klass, 1));
+  const Time latencyTarget = settings_.classes[attempt.classIndex].latencyTarget;
+  const Time ownWork = std::max(
+      0.0, latency_.usual(attempt.classIndex, attempt.units) - latency_.usual(attempt.classIndex, 1));
   const Time waited = outcome.elapsed - ownWork;
   const bool telling = outcome.result != AttemptResult::connectFailed &&
-                       outcome.result != AttemptResult::moot &&
+                       outcome.result != AttemptResult::abandoned &&
                        (outcome.result == AttemptResult::ok || server.lastEarlyAt < now - outcome.elapsed);
-  const bool late = outcome.result == AttemptResult::full || (telling && waited > kLate * aim);
-  const bool early = outcome.result == AttemptResult::ok && waited < kEarly * aim;
+  const bool late = outcome.result == AttemptResult::full || (telling && waited > kLate * latencyTarget);
+  const bool early = outcome.result == AttemptResult::ok && waited < kEarly * latencyTarget;
   if (early) server.lastEarlyAt = now;
   if (late && now - server.limitAt >= kCutInterval) {
     server.limit = std::max(1.0, kServerLimitCut * std::min(server.limit, server.inFlight + 1.0));
--- a/src/decision/decision_engine.cpp
+++ b/src/decision/decision_engine.cpp
@@ -51,7 +51,7 @@
 
 bool provesUnrun(AttemptResult result) {
   return result == AttemptResult::full || result == AttemptResult::connectFailed ||
-         result == AttemptResult::moot;
+         result == AttemptResult::abandoned;
 }
 
 std::uint64_t attemptKey(RequestId id, unsigned attempt) {
@@ -75,7 +75,7 @@
         balancer_(settings_, pool_, slowStart_, outliers_, limiter_, random_),
         retries_(settings_, latency_),
         learned_(settings_, quota_, latency_, pool_, limiter_, retries_, slowStart_, outliers_) {
-    if (settings_.askDiscovery) actions_.subscribe();
+    if (settings_.requiresSubscription) actions_.subscribe();
   }
 
   // The parts refer to one another.
@@ -84,62 +84,64 @@
 
   // --- Events -------------------------------------------------------------------------------------------
 
-  void request(Time now, const EngineRequest& request) {
+  void handleRequest(Time now, const EngineRequest& request) {
     if (pending_.contains(request.id)) return;
-    if (request.klass >= settings_.classes.size() || request.plan >= settings_.plans.size() ||
-        !std::isfinite(request.units) || !std::isfinite(request.expires)) {
-      actions_.refuse(request.id, kRetryAfter);
+    if (request.classIndex >= settings_.classes.size() || request.plan >= settings_.plans.size() ||
+        !std::isfinite(request.units) || !std::isfinite(request.expiresAt)) {
+      actions_.reject(request.id, kRetryAfter);
       return;
     }
     Tenant& tenant = quota_.lookUp(now, request);
-    if (const auto wait = quota_.admit(tenant, request)) return refuse(request.id, *wait);
+    if (const auto wait = quota_.admit(tenant, request)) return reject(request.id, *wait);
     PendingRequest pending;
     pending.request = request;
     pending.arrived = now;
     Server* server = balancer_.select(now, pending);
     quota_.noteSelection(now, server != nullptr);
-    if (!server) return refuse(request.id, kRetryAfter);
+    if (!server) return reject(request.id, kRetryAfter);
     quota_.debit(tenant, request.units);
     send(now, pending_.emplace(request.id, pending).first->second, *server);
   }
 
-  void outcome(Time now, const AttemptOutcome& outcome) {
-    const auto sent = attempts_.find(attemptKey(outcome.id, outcome.attempt));
+  void handleOutcome(Time now, const AttemptOutcome& outcome) {
+    const auto sent = attempts_.find(attemptKey(outcome.id, outcome.attemptIndex));
     if (sent == attempts_.end()) return;  // repeated or unknown
     const Attempt attempt = sent->second;
     attempts_.erase(sent);
     Tenant* tenant = quota_.find(attempt.tenant);
     if (tenant && tenant->inFlight > 0) quota_.noteInFlight(*tenant, now, -1);
-    Server* server = pool_.find(outcome.worker);
+    Server* server = pool_.find(outcome.server);
     if (server) noteAttemptEnd(*server, now, attempt, outcome);
     retries_.noteResult(outcome.result);
-    if (tenant && outcome.usePercent >= 0) quota_.noteReading(*tenant, now, outcome.usePercent);
-    if (outcome.result == AttemptResult::ok && outcome.usePercent < 0) quota_.noteNoReading(now);
+    if (tenant && outcome.quotaUsePercent >= 0) quota_.noteReading(*tenant, now, outcome.quotaUsePercent);
+    if (outcome.result == AttemptResult::ok && outcome.quotaUsePercent < 0) quota_.noteNoReading(now);
     const auto found = pending_.find(outcome.id);
     if (found == pending_.end()) return;
     PendingRequest& pending = found->second;
     pending.attemptInFlight = false;
-    if (settings_.settlesUnits && outcome.result == AttemptResult::ok && tenant && outcome.trueUnits > 0)
-      quota_.refund(*tenant, now, pending.request.units - outcome.trueUnits);
-    if (outcome.finished || outcome.result == AttemptResult::ok) {
+    if (settings_.hasEstimatedUnits && outcome.result == AttemptResult::ok && tenant &&
+        outcome.actualUnits > 0)
+      quota_.refund(*tenant, now, pending.request.units - outcome.actualUnits);
+    if (outcome.isRequestFinished || outcome.result == AttemptResult::ok) {
       pending_.erase(found);
       return;
     }
     if (!provesUnrun(outcome.result) && !pending.mayHaveRun) noteMayHaveRun(pending, server);
-    if (outcome.result == AttemptResult::moot || now >= pending.request.expires) return giveUp(pending);
+    if (outcome.result == AttemptResult::abandoned || now >= pending.request.expiresAt)
+      return giveUp(pending);
     retry(now, pending);
   }
 
-  void clientLeft(RequestId id) { pending_.erase(id); }
+  void handleClientDisconnect(RequestId id) { pending_.erase(id); }
 
-  void timer(Time now, std::uint64_t tag) {
+  void handleTimer(Time now, std::uint64_t tag) {
     if (tag == kSubscribeTag) return actions_.subscribe();
     const auto found = pending_.find(static_cast<RequestId>(tag));
     if (found == pending_.end() || found->second.attemptInFlight) return;
     retry(now, found->second);
   }
 
-  void members(Time now, ListUpdateKind kind, const std::vector<ListedServer>& list) {
+  void updateServers(Time now, ListUpdateKind kind, const std::vector<ListedServer>& list) {
     if (kind == ListUpdateKind::failed) return actions_.setTimer(kRetryAfter, kSubscribeTag);
     pool_.update(now, kind, list);
     limiter_.start(pool_.size());
@@ -149,10 +151,12 @@
   void suspend(Time now, ServerId id) { pool_.suspend(now, id); }
   void resume(Time now, ServerId id) { pool_.resume(now, id); }
 
-  std::vector<double> knowledge(Time now) { return learned_.write(now); }
-  bool adopt(Time now, const std::vector<double>& knowledge) { return learned_.read(now, knowledge); }
+  std::vector<double> exportLearnedState(Time now) { return learned_.write(now); }
+  bool importLearnedState(Time now, const std::vector<double>& learnedState) {
+    return learned_.read(now, learnedState);
+  }
 
-  PoolView pool(Time now) const {
+  PoolView poolView(Time now) const {
     PoolView out;
     for (const Server& server : pool_.servers()) {
       if (server.listed.phase == ServerPhase::gone) continue;
@@ -161,8 +165,8 @@
     }
     return out;
   }
-  std::size_t customersHeld() const { return quota_.tenants().size(); }
-  std::size_t requestsHeld() const { return pending_.size(); }
+  std::size_t tenantCount() const { return quota_.tenants().size(); }
+  std::size_t pendingRequestCount() const { return pending_.size(); }
 
  private:
   // --- What attempts tell of servers --------------------------------------------------------------------
@@ -172,15 +176,15 @@
     if (server.inFlight > 0) --server.inFlight;
     limiter_.noteEnded();
     if (result != AttemptResult::timeout && result != AttemptResult::connectFailed) server.lastAnswerAt = now;
-    if (!outcome.report.empty()) balancer_.noteReport(server, now, outcome.report);
+    if (!outcome.loadReport.empty()) balancer_.noteReport(server, now, outcome.loadReport);
     limiter_.steer(server, now, attempt, outcome);
     if (result == AttemptResult::full) {
       server.fullBackoff = std::clamp(2 * server.fullBackoff, kMinFullBackoff, kMaxFullBackoff);
       server.fullUntil = now + server.fullBackoff;
       return;
     }
-    if (result == AttemptResult::cancelled || result == AttemptResult::moot ||
-        result == AttemptResult::spoilt)
+    if (result == AttemptResult::cancelled || result == AttemptResult::abandoned ||
+        result == AttemptResult::malformed)
       return;
     noteLatency(server, now, attempt, outcome);
     if (result == AttemptResult::ok) {
@@ -196,9 +200,9 @@
   void noteLatency(Server& server, Time now, const Attempt& attempt, const AttemptOutcome& outcome) {
     const AttemptResult result = outcome.result;
     if (result != AttemptResult::ok && result != AttemptResult::timeout) return;
-    if (result == AttemptResult::ok) latency_.note(attempt.klass, attempt.units, now, outcome.elapsed);
+    if (result == AttemptResult::ok) latency_.note(attempt.classIndex, attempt.units, now, outcome.elapsed);
     const double ratio =
-        std::min(kMaxLatencyRatio, outcome.elapsed / latency_.usual(attempt.klass, attempt.units));
+        std::min(kMaxLatencyRatio, outcome.elapsed / latency_.usual(attempt.classIndex, attempt.units));
     if (result == AttemptResult::ok || ratio > outliers_.latencyRatio(server))
       outliers_.noteLatency(server, now, ratio);
   }
@@ -210,15 +214,15 @@
     const Time timeout = retries_.attemptTimeout(now, pending);
     pending.sentAt = now;
     pending.attemptInFlight = true;
-    pending.tried.push_back(server.listed.worker);
+    pending.tried.push_back(server.listed.id);
     attempts_[attemptKey(request.id, pending.attempts)] =
-        Attempt{request.customer, request.klass, request.units};
+        Attempt{request.tenant, request.classIndex, request.units};
     ++pending.attempts;
     limiter_.noteSent(now);
     if (++server.inFlight == 1) server.lastAnswerAt = now;
     slowStart_.noteSent(server);
-    if (Tenant* tenant = quota_.find(request.customer)) quota_.noteInFlight(*tenant, now, 1);
-    actions_.send(request.id, server.listed.worker, timeout);
+    if (Tenant* tenant = quota_.find(request.tenant)) quota_.noteInFlight(*tenant, now, 1);
+    actions_.send(request.id, server.listed.id, timeout);
   }
 
   // `server`: where it may have run; null: one that has left the list since.
@@ -235,7 +239,7 @@
   void retry(Time now, PendingRequest& pending) {
     if (!retries_.mayRetry(now, pending)) return giveUp(pending);
     if (Server* server = balancer_.select(now, pending)) return send(now, pending, *server);
-    if (!pending.mayHaveRun || now + kServerWait >= pending.request.expires) return giveUp(pending);
+    if (!pending.mayHaveRun || now + kServerWait >= pending.request.expiresAt) return giveUp(pending);
     actions_.setTimer(kServerWait, pending.request.id);
   }
 
@@ -245,14 +249,14 @@
     const bool harmless = retries_.isHarmless(pending);
     pending_.erase(id);
     if (harmless)
-      refuse(id, kRetryAfter);
+      reject(id, kRetryAfter);
     else
       actions_.fail(id);
   }
 
-  void refuse(RequestId id, Time wait) {
+  void reject(RequestId id, Time wait) {
     const Time most = settings_.maxRetryAfter > 0 ? settings_.maxRetryAfter : wait;
-    actions_.refuse(id, std::clamp(wait, 1.0, std::max(1.0, most)));
+    actions_.reject(id, std::clamp(wait, 1.0, std::max(1.0, most)));
   }
 
   void log(Time now, const char* line) {
@@ -284,21 +288,25 @@
 DecisionEngine::~DecisionEngine() = default;
 DecisionEngine::DecisionEngine(DecisionEngine&&) noexcept = default;
 DecisionEngine& DecisionEngine::operator=(DecisionEngine&&) noexcept = default;
-void DecisionEngine::members(Time now, ListUpdateKind kind, const std::vector<ListedServer>& list) {
-  core_->members(now, kind, list);
+void DecisionEngine::updateServers(Time now, ListUpdateKind kind, const std::vector<ListedServer>& list) {
+  core_->updateServers(now, kind, list);
+}
+void DecisionEngine::handleRequest(Time now, const EngineRequest& request) {
+  core_->handleRequest(now, request);
+}
+void DecisionEngine::handleOutcome(Time now, const AttemptOutcome& outcome) {
+  core_->handleOutcome(now, outcome);
 }
-void DecisionEngine::request(Time now, const EngineRequest& request) { core_->request(now, request); }
-void DecisionEngine::outcome(Time now, const AttemptOutcome& outcome) { core_->outcome(now, outcome); }
-void DecisionEngine::clientLeft(Time, RequestId id) { core_->clientLeft(id); }
-void DecisionEngine::suspend(Time now, ServerId worker) { core_->suspend(now, worker); }
-void DecisionEngine::resume(Time now, ServerId worker) { core_->resume(now, worker); }
-void DecisionEngine::timer(Time now, std::uint64_t tag) { core_->timer(now, tag); }
-std::vector<double> DecisionEngine::knowledge(Time now) { return core_->knowledge(now); }
-bool DecisionEngine::adopt(Time now, const std::vector<double>& knowledge) {
-  return core_->adopt(now, knowledge);
+void DecisionEngine::handleClientDisconnect(Time, RequestId id) { core_->handleClientDisconnect(id); }
+void DecisionEngine::suspend(Time now, ServerId server) { core_->suspend(now, server); }
+void DecisionEngine::resume(Time now, ServerId server) { core_->resume(now, server); }
+void DecisionEngine::handleTimer(Time now, std::uint64_t tag) { core_->handleTimer(now, tag); }
+std::vector<double> DecisionEngine::exportLearnedState(Time now) { return core_->exportLearnedState(now); }
+bool DecisionEngine::importLearnedState(Time now, const std::vector<double>& learnedState) {
+  return core_->importLearnedState(now, learnedState);
 }
-PoolView DecisionEngine::pool(Time now) const { return core_->pool(now); }
-std::size_t DecisionEngine::customersHeld() const { return core_->customersHeld(); }
-std::size_t DecisionEngine::requestsHeld() const { return core_->requestsHeld(); }
+PoolView DecisionEngine::poolView(Time now) const { return core_->poolView(now); }
+std::size_t DecisionEngine::tenantCount() const { return core_->tenantCount(); }
+std::size_t DecisionEngine::pendingRequestCount() const { return core_->pendingRequestCount(); }
 
 }  // namespace lilacmux
--- a/src/decision/engine_settings.cpp
+++ b/src/decision/engine_settings.cpp
@@ -72,28 +72,28 @@
 
 ClassSettings readClass(const Pairs& pairs, const std::string& at) {
   ClassSettings out;
-  readNumber(pairs, at + "aim", out.aim);
+  readNumber(pairs, at + "aim", out.latencyTarget);
   readNumber(pairs, at + "deadline", out.deadline);
-  readNumber(pairs, at + "window", out.window);
-  readNumber(pairs, at + "worth", out.worth);
-  readNumber(pairs, at + "lateWorth", out.lateWorth);
+  readNumber(pairs, at + "window", out.deduplicationWindow);
+  readNumber(pairs, at + "worth", out.priorityWeight);
+  readNumber(pairs, at + "lateWorth", out.lateWeight);
   read(pairs, at + "repeat", [&](std::string_view k, std::string_view v) {
     if (v == "safe")
-      out.repeat = Idempotency::safe;
+      out.idempotency = Idempotency::safe;
     else if (v == "keyed")
-      out.repeat = Idempotency::keyed;
+      out.idempotency = Idempotency::keyed;
     else if (v == "unsafe")
-      out.repeat = Idempotency::unsafe;
+      out.idempotency = Idempotency::unsafe;
     else
       bad("settings: unknown word", k);
   });
   read(pairs, at + "dedupScope", [&](std::string_view k, std::string_view v) {
     if (v == "all")
-      out.scope = DeduplicationScope::all;
+      out.deduplicationScope = DeduplicationScope::all;
     else if (v == "zone")
-      out.scope = DeduplicationScope::zone;
+      out.deduplicationScope = DeduplicationScope::zone;
     else if (v == "cell")
-      out.scope = DeduplicationScope::cell;
+      out.deduplicationScope = DeduplicationScope::cell;
     else
       bad("settings: unknown word", k);
   });
@@ -104,13 +104,13 @@
   PlanSettings out;
   readNumber(pairs, at + "unitsPerS", out.rate);
   readNumber(pairs, at + "depth", out.burst);
-  readWhole(pairs, at + "atOnce", out.openLimit);
-  readNumber(pairs, at + "ceilingRate", out.ceilingRate);
-  readNumber(pairs, at + "hardBurst", out.ceilingBurst);
-  readNumber(pairs, at + "tolerance", out.ceilingSlack);
+  readWhole(pairs, at + "atOnce", out.maxInFlight);
+  readNumber(pairs, at + "ceilingRate", out.hardLimitRate);
+  readNumber(pairs, at + "hardBurst", out.hardLimitBurst);
+  readNumber(pairs, at + "tolerance", out.hardLimitSlack);
   readNumber(pairs, at + "pays", out.price);
-  readNumber(pairs, at + "overWorth", out.overWorth);
-  readNumber(pairs, at + "overrunCost", out.overCost);
+  readNumber(pairs, at + "overWorth", out.overQuotaWeight);
+  readNumber(pairs, at + "overrunCost", out.overQuotaCost);
   return out;
 }
 
@@ -142,25 +142,26 @@
 EngineSettings parseEngineSettings(std::string_view text) {
   const Pairs pairs = readPairs(text);
   EngineSettings out;
-  readWhole(pairs, "me", out.self);
-  readWhole(pairs, "nInstances", out.gateways);
+  readWhole(pairs, "me", out.gatewayIndex);
+  readWhole(pairs, "nInstances", out.gatewayCount);
   readWhole(pairs, "locality", out.zone);
-  read(pairs, "report.fields", [&](std::string_view, std::string_view v) { out.reportFields = words(v); });
+  read(pairs, "report.fields",
+       [&](std::string_view, std::string_view v) { out.loadReportFields = words(v); });
   read(pairs, "discovery", [&](std::string_view k, std::string_view v) {
     if (v != "pushed" && v != "on_request") bad("settings: unknown word", k);
-    out.askDiscovery = v == "on_request";
+    out.requiresSubscription = v == "on_request";
   });
-  readNumber(pairs, "rules.askWithin", out.askWithin);
+  readNumber(pairs, "rules.askWithin", out.subscribeWithin);
   readWhole(pairs, "permissions.attemptsCap", out.maxAttempts);
   readNumber(pairs, "permissions.maxRetryAfter", out.maxRetryAfter);
   readNumber(pairs, "familyInfo.metering", out.meterPeriod);
-  readTruth(pairs, "familyInfo.truedUp", out.settlesUnits);
-  readNumber(pairs, "familyInfo.mostUnits", out.mostUnits);
-  readNumber(pairs, "rules.stopSendingWithin", out.drainGrace);
-  readNumber(pairs, "rules.coldFrom", out.coldFrom);
-  readNumber(pairs, "rules.warmUp", out.warmUp);
-  readNumber(pairs, "rules.fallMultiple", out.fallMultiple);
-  readNumber(pairs, "rules.overloadFor", out.fallSpan);
+  readTruth(pairs, "familyInfo.truedUp", out.hasEstimatedUnits);
+  readNumber(pairs, "familyInfo.mostUnits", out.maxUnits);
+  readNumber(pairs, "rules.stopSendingWithin", out.drainGracePeriod);
+  readNumber(pairs, "rules.coldFrom", out.initialCapacityShare);
+  readNumber(pairs, "rules.warmUp", out.warmUpTime);
+  readNumber(pairs, "rules.fallMultiple", out.overloadFactor);
+  readNumber(pairs, "rules.overloadFor", out.overloadDuration);
   readNumber(pairs, "prices.crossZone", out.crossZonePrice);
   const unsigned classes = count(pairs, "profiles");
   for (unsigned i = 0; i < classes; ++i)
--- a/src/decision/latency_model.cpp
+++ b/src/decision/latency_model.cpp
@@ -29,12 +29,13 @@
   at = now;
 }
 
-Time LatencyModel::usual(unsigned klass) const {
-  return byClass_[klass].mean > 0 ? byClass_[klass].mean : settings_.classes[klass].aim * kInitialLatency;
+Time LatencyModel::usual(unsigned classIndex) const {
+  return byClass_[classIndex].mean > 0 ? byClass_[classIndex].mean
+                                       : settings_.classes[classIndex].latencyTarget * kInitialLatency;
 }
 
 std::size_t LatencyModel::sizes() const {
-  return static_cast<std::size_t>(std::clamp(settings_.mostUnits, 1.0, kMaxSizes));
+  return static_cast<std::size_t>(std::clamp(settings_.maxUnits, 1.0, kMaxSizes));
 }
 
 std::size_t LatencyModel::sizeOf(double units) const {
@@ -43,16 +44,16 @@
 
 // What a request of so many units usually takes: its units tell its work, and a long one is not a slow one.
 // A size not answered yet goes by the next smaller one, or else larger one, that has been.
-Time LatencyModel::usual(unsigned klass, double units) const {
+Time LatencyModel::usual(unsigned classIndex, double units) const {
   const std::size_t size = sizeOf(units);
   const auto scaled = [&](std::size_t known) {
-    return bySize_[indexOf(klass, known)].mean * static_cast<double>(size) / static_cast<double>(known);
+    return bySize_[indexOf(classIndex, known)].mean * static_cast<double>(size) / static_cast<double>(known);
   };
   for (std::size_t known = size; known >= 1; --known)
-    if (bySize_[indexOf(klass, known)].mean > 0) return scaled(known);
+    if (bySize_[indexOf(classIndex, known)].mean > 0) return scaled(known);
   for (std::size_t known = size + 1; known <= sizes(); ++known)
-    if (bySize_[indexOf(klass, known)].mean > 0) return scaled(known);
-  return usual(klass);
+    if (bySize_[indexOf(classIndex, known)].mean > 0) return scaled(known);
+  return usual(classIndex);
 }
 
 Time LatencyModel::longest() const {
@@ -61,9 +62,9 @@
   return most;
 }
 
-void LatencyModel::note(unsigned klass, double units, Time now, Time elapsed) {
-  byClass_[klass].note(now, elapsed);
-  bySize_[indexOf(klass, sizeOf(units))].note(now, elapsed);
+void LatencyModel::note(unsigned classIndex, double units, Time now, Time elapsed) {
+  byClass_[classIndex].note(now, elapsed);
+  bySize_[indexOf(classIndex, sizeOf(units))].note(now, elapsed);
 }
 
 }  // namespace lilacmux::decision
--- a/src/decision/latency_model.hpp
+++ b/src/decision/latency_model.hpp
@@ -15,13 +15,13 @@
   LatencyModel(const EngineSettings& settings, Time now);
 
   // Of a class, whatever the units; a share of its latency target until it has had an answer.
-  Time usual(unsigned klass) const;
+  Time usual(unsigned classIndex) const;
   // Of a class's requests of so many units.
-  Time usual(unsigned klass, double units) const;
+  Time usual(unsigned classIndex, double units) const;
   // The longest usual latency of all classes; 0: no answer yet.
   Time longest() const;
   // A good answer took so long.
-  void note(unsigned klass, double units, Time now, Time elapsed);
+  void note(unsigned classIndex, double units, Time now, Time elapsed);
 
   template <class Archive>
   void exchangeState(Archive& archive) {
@@ -38,7 +38,7 @@
 
   std::size_t sizes() const;
   std::size_t sizeOf(double units) const;
-  std::size_t indexOf(unsigned klass, std::size_t size) const { return klass * sizes() + size - 1; }
+  std::size_t indexOf(unsigned classIndex, std::size_t size) const { return classIndex * sizes() + size - 1; }
 
   const EngineSettings& settings_;
   std::vector<Average> byClass_;
--- a/src/decision/learned_state.cpp
+++ b/src/decision/learned_state.cpp
@@ -55,8 +55,8 @@
           numbersOf<Tenant>(),
           static_cast<double>(settings_.classes.size()),
           static_cast<double>(settings_.plans.size()),
-          static_cast<double>(settings_.gateways),
-          static_cast<double>(settings_.self)};
+          static_cast<double>(settings_.gatewayCount),
+          static_cast<double>(settings_.gatewayIndex)};
 }
 
 // Of the tenants only those of whom something is known that one new to a gateway would not have.
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -32,11 +32,12 @@
 }
 
 bool LoadBalancer::inDeduplicationScope(const PendingRequest& pending, const Server& server) const {
-  const ClassSettings& klass = settings_.classes[pending.request.klass];
-  if (!pending.mayHaveRun || klass.repeat == Idempotency::safe || klass.scope == DeduplicationScope::all)
+  const ClassSettings& requestClass = settings_.classes[pending.request.classIndex];
+  if (!pending.mayHaveRun || requestClass.idempotency == Idempotency::safe ||
+      requestClass.deduplicationScope == DeduplicationScope::all)
     return true;
-  return klass.scope == DeduplicationScope::zone ? server.listed.zone == pending.ranZone
-                                                 : server.listed.cell == pending.ranCell;
+  return requestClass.deduplicationScope == DeduplicationScope::zone ? server.listed.zone == pending.ranZone
+                                                                     : server.listed.cell == pending.ranCell;
 }
 
 // The least loaded ready server, weighted by how slow it has been. Ejected ones serve where no other is.
@@ -52,7 +53,7 @@
     if (server.listed.zone != settings_.zone) cost *= 1 + kCrossZoneCost * settings_.crossZonePrice;
     cost *= 1 + kTieBreak * random_.next();
     if (outliers_.isAvoided(server, now)) cost *= kAvoidedCost;
-    if (std::find(pending.tried.begin(), pending.tried.end(), server.listed.worker) != pending.tried.end())
+    if (std::find(pending.tried.begin(), pending.tried.end(), server.listed.id) != pending.tried.end())
       cost *= kTriedCost;
     if (!best || cost < least) best = &server, least = cost;
   }
@@ -60,13 +61,13 @@
 }
 
 void LoadBalancer::noteReport(Server& server, Time now, const std::vector<double>& report) {
-  const std::size_t n = std::min(report.size(), settings_.reportFields.size());
+  const std::size_t n = std::min(report.size(), settings_.loadReportFields.size());
   for (std::size_t i = 0; i < n; ++i) {
     double sample = -1;
-    if (settings_.reportFields[i] == "inflight") sample = report[i] - server.inFlight - 1;
-    if (settings_.reportFields[i] == "queue")
-      sample = report[i] * (settings_.gateways - 1) / settings_.gateways;
-    if (sample < 0 && settings_.reportFields[i] != "inflight") continue;
+    if (settings_.loadReportFields[i] == "inflight") sample = report[i] - server.inFlight - 1;
+    if (settings_.loadReportFields[i] == "queue")
+      sample = report[i] * (settings_.gatewayCount - 1) / settings_.gatewayCount;
+    if (sample < 0 && settings_.loadReportFields[i] != "inflight") continue;
     sample = std::max(0.0, sample);
     server.othersInFlight =
         decayToward(server.othersInFlight, sample, now - server.othersAt + kMinReportSpan, kReportTau);
--- a/src/decision/pending_request.hpp
+++ b/src/decision/pending_request.hpp
@@ -23,7 +23,7 @@
 // An attempt in flight; it may outlive its request.
 struct Attempt {
   TenantId tenant = 0;
-  unsigned klass = 0;
+  unsigned classIndex = 0;
   double units = 1;
 };
 
--- a/src/decision/quota_admission.cpp
+++ b/src/decision/quota_admission.cpp
@@ -28,12 +28,12 @@
 std::optional<Time> QuotaAdmission::admit(Tenant& tenant, const EngineRequest& request) {
   const PlanSettings& plan = settings_.plans[tenant.plan];
   const double units = std::max(0.0, request.units);
-  if (plan.ceilingRate > 0 && tenant.hardLimitTokens < units)
-    return 1000 * (units - tenant.hardLimitTokens) * tenant.setSize / plan.ceilingRate;
+  if (plan.hardLimitRate > 0 && tenant.hardLimitTokens < units)
+    return 1000 * (units - tenant.hardLimitTokens) * tenant.gatewaySetSize / plan.hardLimitRate;
   const double want = std::min(units, plan.burst);
   tenant.usualUnits = decayToward(tenant.usualUnits, units, 1, kSizeTau);
   if (plan.rate > 0 && tenant.tokens < want) return 1000 * (want - tenant.tokens) / plan.rate;
-  if (plan.openLimit > 0 && !cap_.hasRoom(tenant, request)) return latency_.usual(request.klass);
+  if (plan.maxInFlight > 0 && !cap_.hasRoom(tenant, request)) return latency_.usual(request.classIndex);
   QuotaEstimate::addDemand(tenant, units, 0);
   const bool empty =
       plan.rate > 0 && (estimate_.isSeldom(tenant) || estimate_.isEmpty(tenant, want, pressure_));
@@ -66,7 +66,7 @@
   estimate_.advance(tenant, now);
   const PlanSettings& plan = settings_.plans[tenant.plan];
   const long out = meter_.publishedSlot(now);
-  if (plan.rate <= 0) return cap_.notePeak(tenant, out - meter_.lag(), percent / 100.0 * plan.openLimit);
+  if (plan.rate <= 0) return cap_.notePeak(tenant, out - meter_.lag(), percent / 100.0 * plan.maxInFlight);
   const double metered = percent / 100.0 * plan.rate * settings_.meterPeriod / 1000;
   meter_.learnLag(tenant, out, metered);
   estimate_.noteMetered(tenant, now, out - meter_.lag(), metered);
@@ -75,8 +75,8 @@
 void QuotaAdmission::adopt(Tenant tenant, Time now) {
   if (tenant.plan >= settings_.plans.size() || tenants_.find(tenant.id)) return;
   Time longest = 0;
-  for (unsigned klass = 0; klass < settings_.classes.size(); ++klass)
-    longest = std::max(longest, latency_.usual(klass));
+  for (unsigned classIndex = 0; classIndex < settings_.classes.size(); ++classIndex)
+    longest = std::max(longest, latency_.usual(classIndex));
   tenant.inFlightBefore = std::exchange(tenant.inFlight, 0);
   tenant.inFlightBeforeUntil = now + 2 * longest;
   tenants_.adopt(tenant);
--- a/src/decision/quota_estimate.cpp
+++ b/src/decision/quota_estimate.cpp
@@ -44,7 +44,7 @@
 
 double QuotaEstimate::share(const Tenant& tenant) const {
   const double doubt = kShareDoubt * tenant.usualUnits + 1e-9;
-  return std::min(1.0, (tenant.ownUse + doubt / tenant.setSize) / (tenant.allUse + doubt));
+  return std::min(1.0, (tenant.ownUse + doubt / tenant.gatewaySetSize) / (tenant.allUse + doubt));
 }
 
 // All gateways' demand in units a second: what is seen lately against what is usual, and that against what
@@ -81,8 +81,8 @@
   tenant.tokens = refilled(tenant.tokens, plan.rate, plan.burst, dt);
   const double taken = othersTake(tenant, tenant.globalTokens, dt);
   tenant.globalTokens = refilled(tenant.globalTokens - taken, plan.rate, plan.burst, dt);
-  tenant.hardLimitTokens = std::min(plan.ceilingBurst / tenant.setSize,
-                                    tenant.hardLimitTokens + plan.ceilingRate * dt / tenant.setSize);
+  tenant.hardLimitTokens = std::min(plan.hardLimitBurst / tenant.gatewaySetSize,
+                                    tenant.hardLimitTokens + plan.hardLimitRate * dt / tenant.gatewaySetSize);
   const double keepNews = std::exp(-span / kRecentDemandTau), keep = std::exp(-span / kUsualDemandTau);
   tenant.recentUnits *= keepNews, tenant.recentTime = tenant.recentTime * keepNews + share(tenant) * dt;
   tenant.usualDemandUnits *= keep,
@@ -93,7 +93,7 @@
   tenant.ownUse *= keepShare, tenant.allUse *= keepShare;
   if (now - tenant.readingAt > 2 * settings_.meterPeriod)  // a gateway that lets nothing in gets no readings
     tenant.admitFraction =
-        climbed(tenant.admitFraction, span, std::max(kRecoverySpan, kRecoveryGaps * tenant.readingGap));
+        recovered(tenant.admitFraction, span, std::max(kRecoverySpan, kRecoveryGaps * tenant.readingGap));
   tenant.credit = std::min(kMaxCredit * tenant.usualUnits, tenant.credit + plan.rate * share(tenant) * dt);
   touchSlot(tenant, now, taken);
   tenant.updatedAt = std::max(tenant.updatedAt, now);
@@ -106,7 +106,7 @@
 // others as the rate brings them in. Hurts a light tenant that keeps coming to one gateway.
 bool QuotaEstimate::isSeldom(const Tenant& tenant) const {
   const PlanSettings& plan = settings_.plans[tenant.plan];
-  const double toAll = tenant.usualUnits * tenant.setSize;
+  const double toAll = tenant.usualUnits * tenant.gatewaySetSize;
   return tenant.reading < 0 && plan.rate > 0 && plan.burst < toAll && 1000 * toAll / plan.rate > kSeldomSpan;
 }
 
@@ -114,7 +114,7 @@
 // what is not known of it, at the plan's own price of being wrong.
 bool QuotaEstimate::isEmpty(const Tenant& tenant, double want, double pressure) const {
   const PlanSettings& plan = settings_.plans[tenant.plan];
-  const double price = (plan.overCost - plan.overWorth + pressure) / (1 - pressure);
+  const double price = (plan.overQuotaCost - plan.overQuotaWeight + pressure) / (1 - pressure);
   if (price <= 0) return false;
   // Own sends are known; what the others have sent since the last reading's period is not.
   const double age = std::min((tenant.updatedAt - tenant.meteredUntil) / 1000, plan.burst / plan.rate);
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -24,30 +24,31 @@
 unsigned RetryPolicy::maxAttempts() const { return std::min(settings_.maxAttempts, kMaxAttempts); }
 
 Time RetryPolicy::attemptTimeout(Time now, const PendingRequest& pending) const {
-  const ClassSettings& klass = settings_.classes[pending.request.klass];
+  const ClassSettings& requestClass = settings_.classes[pending.request.classIndex];
   const bool last = pending.attempts + 1 >= maxAttempts();
-  if (klass.repeat == Idempotency::unsafe || last || budget_ < 1) return 0;
+  if (requestClass.idempotency == Idempotency::unsafe || last || budget_ < 1) return 0;
   const Time timeout =
-      std::max(kTimeoutLatencies * latency_.usual(pending.request.klass, pending.request.units),
-               kTimeoutTargets * klass.aim);
-  const Time left = pending.request.expires - now;
+      std::max(kTimeoutLatencies * latency_.usual(pending.request.classIndex, pending.request.units),
+               kTimeoutTargets * requestClass.latencyTarget);
+  const Time left = pending.request.expiresAt - now;
   return timeout >= left ? 0 : timeout;
 }
 
 bool RetryPolicy::mayRetry(Time now, const PendingRequest& pending) const {
-  const ClassSettings& klass = settings_.classes[pending.request.klass];
-  if (pending.attempts >= maxAttempts() || now >= pending.request.expires) return false;
-  const bool bound = pending.mayHaveRun && klass.repeat != Idempotency::safe;
-  if (bound && klass.repeat == Idempotency::unsafe) return false;
-  if (bound && now > pending.ranSince + klass.window) return false;
+  const ClassSettings& requestClass = settings_.classes[pending.request.classIndex];
+  if (pending.attempts >= maxAttempts() || now >= pending.request.expiresAt) return false;
+  const bool bound = pending.mayHaveRun && requestClass.idempotency != Idempotency::safe;
+  if (bound && requestClass.idempotency == Idempotency::unsafe) return false;
+  if (bound && now > pending.ranSince + requestClass.deduplicationWindow) return false;
   if (pending.mayHaveRun && budget_ < 1) return false;
-  return klass.lateWorth > 0 || now <= pending.arrived + klass.aim;
+  return requestClass.lateWeight > 0 || now <= pending.arrived + requestClass.latencyTarget;
 }
 
 bool RetryPolicy::isHarmless(const PendingRequest& pending) const {
-  const ClassSettings& klass = settings_.classes[pending.request.klass];
-  return !pending.mayHaveRun || klass.repeat == Idempotency::safe ||
-         (klass.repeat == Idempotency::keyed && klass.scope == DeduplicationScope::all);
+  const ClassSettings& requestClass = settings_.classes[pending.request.classIndex];
+  return !pending.mayHaveRun || requestClass.idempotency == Idempotency::safe ||
+         (requestClass.idempotency == Idempotency::keyed &&
+          requestClass.deduplicationScope == DeduplicationScope::all);
 }
 
 void RetryPolicy::noteResult(AttemptResult result) {
--- a/src/decision/server.hpp
+++ b/src/decision/server.hpp
@@ -33,12 +33,12 @@
 // process knows (DecisionEngine::knowledge).
 template <class Archive>
 void exchangeState(Archive& archive, Server& s) {
-  std::uint32_t high = static_cast<std::uint32_t>(s.listed.worker >> 32);
-  std::uint32_t low = static_cast<std::uint32_t>(s.listed.worker);
-  archive(high, low, s.listed.started, s.inFlight, s.limit, s.limitAt, s.fullBackoff, s.latencySum);
+  std::uint32_t high = static_cast<std::uint32_t>(s.listed.id >> 32);
+  std::uint32_t low = static_cast<std::uint32_t>(s.listed.id);
+  archive(high, low, s.listed.startedAt, s.inFlight, s.limit, s.limitAt, s.fullBackoff, s.latencySum);
   archive(s.latencyCount, s.latencyAt, s.lastAnswerAt, s.lastEarlyAt, s.failuresInRow, s.ejectedUntil);
   archive(s.ejectionTime, s.fullUntil, s.slowStartTokens, s.slowStartAt);
-  s.listed.worker = std::uint64_t{high} << 32 | low;
+  s.listed.id = std::uint64_t{high} << 32 | low;
 }
 
 }  // namespace lilacmux::decision
--- a/src/decision/server_pool.cpp
+++ b/src/decision/server_pool.cpp
@@ -10,12 +10,12 @@
   if (kind != ListUpdateKind::delta)
     for (Server& server : servers_) server.listed.phase = ServerPhase::gone;
   for (const ListedServer& entry : list) {
-    Server* server = find(entry.worker);
+    Server* server = find(entry.id);
     if (!server) {
       servers_.emplace_back();
       server = &servers_.back();
       begin(*server, now);
-    } else if (entry.started != server->listed.started) {  // restarted: what was learned is void
+    } else if (entry.startedAt != server->listed.startedAt) {  // restarted: what was learned is void
       renew(*server, now);
     }
     server->listed = entry;
@@ -40,8 +40,8 @@
 
 // What is in flight at the process before this one is load whose end this one does not see.
 void ServerPool::adopt(Server known, Time now) {
-  Server* mine = find(known.listed.worker);
-  if (!mine || mine->listed.started != known.listed.started) return;
+  Server* mine = find(known.listed.id);
+  if (!mine || mine->listed.startedAt != known.listed.startedAt) return;
   known.listed = mine->listed;
   known.othersInFlight = known.inFlight;
   known.othersAt = now;
@@ -51,13 +51,13 @@
 
 Server* ServerPool::find(ServerId id) {
   for (Server& server : servers_)
-    if (server.listed.worker == id) return &server;
+    if (server.listed.id == id) return &server;
   return nullptr;
 }
 
 // Suspended by an operator: as draining, whatever the list says.
 bool ServerPool::isSuspended(const Server& server) const {
-  return !suspended_.empty() && suspended_.contains(server.listed.worker);
+  return !suspended_.empty() && suspended_.contains(server.listed.id);
 }
 
 bool ServerPool::inUse(const Server& server) const {
@@ -67,10 +67,10 @@
 // When it last became cold. One is restarted while it is left out; until the list reports that start,
 // its return stands for it.
 Time ServerPool::coldSince(const Server& server) const {
-  if (resumed_.empty()) return server.listed.started;
-  const auto found = resumed_.find(server.listed.worker);
-  if (found == resumed_.end() || server.listed.started >= found->second.suspended)
-    return server.listed.started;
+  if (resumed_.empty()) return server.listed.startedAt;
+  const auto found = resumed_.find(server.listed.id);
+  if (found == resumed_.end() || server.listed.startedAt >= found->second.suspended)
+    return server.listed.startedAt;
   return found->second.resumed;
 }
 
@@ -78,7 +78,7 @@
 void ServerPool::begin(Server& server, Time now) {
   server.latencyAt = server.othersAt = server.slowStartAt = now;
   server.slowStartTokens = random_.next();
-  server.limit = std::max(1.0, kInitialLimit / settings_.gateways);
+  server.limit = std::max(1.0, kInitialLimit / settings_.gatewayCount);
 }
 
 // Nothing that was learned of it holds any more.
--- a/src/decision/settings_check.cpp
+++ b/src/decision/settings_check.cpp
@@ -16,21 +16,24 @@
 }  // namespace
 
 const EngineSettings& checked(const EngineSettings& settings) {
-  require(settings.gateways >= 1 && settings.self < settings.gateways, "gateway number out of range");
+  require(settings.gatewayCount >= 1 && settings.gatewayIndex < settings.gatewayCount,
+          "gateway number out of range");
   require(!settings.classes.empty(), "no classes");
   require(!settings.plans.empty(), "no plans");
-  require(sane(settings.meterPeriod) && sane(settings.warmUp) && sane(settings.drainGrace) &&
-              sane(settings.maxRetryAfter) && sane(settings.coldFrom) && sane(settings.fallMultiple) &&
-              sane(settings.fallSpan) && sane(settings.mostUnits) && sane(settings.crossZonePrice) &&
-              sane(settings.askWithin),
+  require(sane(settings.meterPeriod) && sane(settings.warmUpTime) && sane(settings.drainGracePeriod) &&
+              sane(settings.maxRetryAfter) && sane(settings.initialCapacityShare) &&
+              sane(settings.overloadFactor) && sane(settings.overloadDuration) && sane(settings.maxUnits) &&
+              sane(settings.crossZonePrice) && sane(settings.subscribeWithin),
           "a figure is negative or not finite");
   for (const ClassSettings& requestClass : settings.classes)
-    require(sane(requestClass.aim) && sane(requestClass.deadline) && sane(requestClass.window) &&
-                sane(requestClass.worth) && sane(requestClass.lateWorth),
+    require(sane(requestClass.latencyTarget) && sane(requestClass.deadline) &&
+                sane(requestClass.deduplicationWindow) && sane(requestClass.priorityWeight) &&
+                sane(requestClass.lateWeight),
             "a class's figure is negative or not finite");
   for (const PlanSettings& plan : settings.plans)
-    require(sane(plan.rate) && sane(plan.burst) && sane(plan.ceilingRate) && sane(plan.ceilingBurst) &&
-                sane(plan.ceilingSlack) && sane(plan.price) && sane(plan.overWorth) && sane(plan.overCost),
+    require(sane(plan.rate) && sane(plan.burst) && sane(plan.hardLimitRate) && sane(plan.hardLimitBurst) &&
+                sane(plan.hardLimitSlack) && sane(plan.price) && sane(plan.overQuotaWeight) &&
+                sane(plan.overQuotaCost),
             "a plan's figure is negative or not finite");
   return settings;
 }
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -16,9 +16,9 @@
 
 double SlowStart::warmth(const Server& server, Time now) const {
   const Time since = pool_.coldSince(server);
-  if (since <= 0 || settings_.warmUp <= 0) return 1;
-  const double age = std::clamp((now - since) / settings_.warmUp, 0.0, 1.0);
-  return settings_.coldFrom + (1 - settings_.coldFrom) * age;
+  if (since <= 0 || settings_.warmUpTime <= 0) return 1;
+  const double age = std::clamp((now - since) / settings_.warmUpTime, 0.0, 1.0);
+  return settings_.initialCapacityShare + (1 - settings_.initialCapacityShare) * age;
 }
 
 // Keeps this gateway's sends to a warming server under its share of the good answers that it has of a warm
@@ -29,7 +29,8 @@
 bool SlowStart::hasRoom(Server& server, Time now) const {
   const double warm = warmth(server, now);
   if (warm >= 1) return true;
-  const double least = settings_.fallMultiple / std::max(settings_.fallSpan, 1.0) / settings_.gateways;
+  const double least =
+      settings_.overloadFactor / std::max(settings_.overloadDuration, 1.0) / settings_.gatewayCount;
   const double known = decayToward(warmRate_, 0, now - warmAt_, kWarmRateTau) / std::max(1u, warmServers_);
   server.slowStartTokens =
       std::min(1.0, server.slowStartTokens +
--- a/src/decision/tenant.hpp
+++ b/src/decision/tenant.hpp
@@ -12,13 +12,13 @@
 struct Tenant {
   TenantId id = 0;
   unsigned plan = 0;
-  unsigned setSize = 1;        // gateways that the tenant's requests come through
-  Time updatedAt = 0;          // the buckets and averages are carried forward up to here
-  double tokens = 0;           // this gateway's token bucket
-  double globalTokens = 0;     // estimate of the tenant's token bucket over all gateways
-  double hardLimitTokens = 0;  // this gateway's part of the hard rate limit's bucket
-  double admitFraction = 1;    // share of the demand that is let in while the global bucket is empty
-  int reading = -1;            // the last metered reading, percent; below 0: none yet
+  unsigned gatewaySetSize = 1;  // gateways that the tenant's requests come through
+  Time updatedAt = 0;           // the buckets and averages are carried forward up to here
+  double tokens = 0;            // this gateway's token bucket
+  double globalTokens = 0;      // estimate of the tenant's token bucket over all gateways
+  double hardLimitTokens = 0;   // this gateway's part of the hard rate limit's bucket
+  double admitFraction = 1;     // share of the demand that is let in while the global bucket is empty
+  int reading = -1;             // the last metered reading, percent; below 0: none yet
   Time readingAt = 0;
   Time readingGap = 0;         // the usual time between two readings
   Time lastAnswerAt = kNever;  // the last answer that brought a reading, new or not
@@ -47,7 +47,8 @@
 // process knows (DecisionEngine::knowledge).
 template <class Archive>
 void exchangeState(Archive& archive, Tenant& t) {
-  archive(t.id, t.plan, t.setSize, t.updatedAt, t.tokens, t.globalTokens, t.hardLimitTokens, t.admitFraction);
+  archive(t.id, t.plan, t.gatewaySetSize, t.updatedAt, t.tokens, t.globalTokens, t.hardLimitTokens,
+          t.admitFraction);
   archive(t.reading, t.readingAt, t.readingGap, t.lastAnswerAt, t.createdAt, t.meteredUntil, t.credit);
   archive(t.usualUnits, t.recentUnits, t.recentTime, t.usualDemandUnits, t.usualDemandTime, t.ownUse,
           t.allUse);
--- a/src/decision/tenant_table.cpp
+++ b/src/decision/tenant_table.cpp
@@ -31,24 +31,24 @@
 
 Tenant& TenantTable::lookUp(Time now, const EngineRequest& request) {
   const PlanSettings& plan = settings_.plans[request.plan];
-  if (const auto found = index_.find(request.customer); found != index_.end()) {
+  if (const auto found = index_.find(request.tenant); found != index_.end()) {
     table_.splice(table_.end(), table_, found->second);
     // The set may have changed; what is over its new part of the hard limit is gone at once (advance).
-    found->second->setSize = std::max(1u, std::min(request.setSize, settings_.gateways));
+    found->second->gatewaySetSize = std::max(1u, std::min(request.gatewaySetSize, settings_.gatewayCount));
     estimate_.advance(*found->second, now);
     return *found->second;
   }
   if (index_.size() >= kMaxTenants) evict(now);
   table_.emplace_back();
   Tenant& tenant = table_.back();
-  index_[request.customer] = std::prev(table_.end());
-  tenant.id = request.customer;
+  index_[request.tenant] = std::prev(table_.end());
+  tenant.id = request.tenant;
   tenant.plan = request.plan;
-  tenant.setSize = std::max(1u, std::min(request.setSize, settings_.gateways));
+  tenant.gatewaySetSize = std::max(1u, std::min(request.gatewaySetSize, settings_.gatewayCount));
   tenant.updatedAt = tenant.readingAt = now;
   tenant.createdAt = now;
   tenant.meteredUntil = now - settings_.meterPeriod;
-  tenant.tokens = freshTokens(plan, tenant.setSize, now);
+  tenant.tokens = freshTokens(plan, tenant.gatewaySetSize, now);
   tenant.globalTokens = plan.burst;
   tenant.usualUnits = std::max(0.0, request.units);
   tenant.admitSlots.fill(1);
@@ -59,15 +59,16 @@
   // The hard limit's bucket lives on over restarts and evictions, so nothing is taken to be left in it but
   // what has come in since this gateway could last have sent for the tenant.
   tenant.hardLimitTokens =
-      std::min(plan.ceilingBurst, plan.ceilingRate * (now - hardLimitSince_) / 1000) / tenant.setSize;
+      std::min(plan.hardLimitBurst, plan.hardLimitRate * (now - hardLimitSince_) / 1000) /
+      tenant.gatewaySetSize;
   tenant.slot = meter_.slotAt(now);
   return tenant;
 }
 
 // What a bucket holds by now that was made at this gateway's start, or when one that lost by it was
 // evicted.
-double TenantTable::freshTokens(const PlanSettings& plan, unsigned setSize, Time now) const {
-  return std::min(plan.burst, plan.burst / setSize + plan.rate * (now - bucketSince_) / 1000);
+double TenantTable::freshTokens(const PlanSettings& plan, unsigned gatewaySetSize, Time now) const {
+  return std::min(plan.burst, plan.burst / gatewaySetSize + plan.rate * (now - bucketSince_) / 1000);
 }
 
 // Drops the oldest entry that loses nothing by it, so that a stream of one-off tenants does not bring
@@ -78,14 +79,16 @@
   for (auto it = table_.begin(); it != table_.end() && seen < kEvictionScan; ++it, ++seen) {
     estimate_.advance(*it, now);
     const PlanSettings& plan = settings_.plans[it->plan];
-    if (it->inFlight == 0 && it->admitFraction >= 1 && it->tokens >= freshTokens(plan, it->setSize, now) &&
-        it->hardLimitTokens >= plan.ceilingBurst / it->setSize) {
+    if (it->inFlight == 0 && it->admitFraction >= 1 &&
+        it->tokens >= freshTokens(plan, it->gatewaySetSize, now) &&
+        it->hardLimitTokens >= plan.hardLimitBurst / it->gatewaySetSize) {
       victim = it;
       break;
     }
   }
-  if (victim->tokens < freshTokens(settings_.plans[victim->plan], victim->setSize, now)) bucketSince_ = now;
-  if (victim->hardLimitTokens < settings_.plans[victim->plan].ceilingBurst / victim->setSize)
+  if (victim->tokens < freshTokens(settings_.plans[victim->plan], victim->gatewaySetSize, now))
+    bucketSince_ = now;
+  if (victim->hardLimitTokens < settings_.plans[victim->plan].hardLimitBurst / victim->gatewaySetSize)
     hardLimitSince_ = now;
   index_.erase(victim->id);
   table_.erase(victim);
--- a/src/decision/tenant_table.hpp
+++ b/src/decision/tenant_table.hpp
@@ -40,7 +40,7 @@
   }
 
  private:
-  double freshTokens(const PlanSettings& plan, unsigned setSize, Time now) const;
+  double freshTokens(const PlanSettings& plan, unsigned gatewaySetSize, Time now) const;
   void evict(Time now);
 
   const EngineSettings& settings_;
--- a/src/decision/token_bucket.hpp
+++ b/src/decision/token_bucket.hpp
@@ -4,5 +4,5 @@
 #include <algorithm>
 namespace lilacmux {
 inline double refilled(double n, double rate, double cap, double s) { return std::min(cap, n + rate * s); }
-inline double climbed(double f, double span, double climb) { return std::min(1.0, f + span / climb); }
+inline double recovered(double f, double span, double climb) { return std::min(1.0, f + span / climb); }
 }  // namespace lilacmux
--- a/src/experiment/capacity_servers.cpp
+++ b/src/experiment/capacity_servers.cpp
@@ -23,7 +23,7 @@
 class SilentClusterHost : public ClusterHost {
  public:
   void send(Cluster&, RequestId, ServerId, Time) override {}
-  void refuse(RequestId, Time) override {}
+  void reject(RequestId, Time) override {}
   void fail(RequestId) override {}
   void setTimer(Cluster&, Time, std::uint64_t) override {}
   void log(const std::string&) override {}
--- a/src/gatekeeper/call_reader.cpp
+++ b/src/gatekeeper/call_reader.cpp
@@ -42,8 +42,8 @@
   const auto units = number<double>(valueOf(terms, ',', "units"));
   const auto spread = number<unsigned>(valueOf(terms, ',', "spread"));
   const auto first = number<unsigned>(valueOf(terms, ',', "first"));
-  if (!units || !std::isfinite(*units) || *units <= 0 || *units > settings.mostUnits) return false;
-  if (!spread || *spread < 1 || *spread > settings.gateways || !first || *first >= settings.gateways)
+  if (!units || !std::isfinite(*units) || *units <= 0 || *units > settings.maxUnits) return false;
+  if (!spread || *spread < 1 || *spread > settings.gatewayCount || !first || *first >= settings.gatewayCount)
     return false;
   call.units = *units;
   call.setSize = *spread;
@@ -89,7 +89,7 @@
   Call call;
   call.id = *id;
   call.klass = *klass;
-  if (!methodFits(head, config.settings.classes[*klass].repeat))
+  if (!methodFits(head, config.settings.classes[*klass].idempotency))
     return Rejection{kBad, "the method, body or Idempotency-Key does not fit the class"};
   const auto plan = indexOf(config.host.plans, header(head, "X-Tier"));
   if (!plan) return Rejection{kBad, "unknown plan"};
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -56,7 +56,7 @@
       config_(config),
       budget_(bytesOfMessages(config)),
       counters_(config.host.classes),
-      answers_(config.settings.reportFields),
+      answers_(config.settings.loadReportFields),
       pool_(io, poolLimits(config), budget_, counters_, answers_, *this,
             [this](AttemptEnd&& end) { ended(std::move(end)); }),
       clientServer_(io, config_.listen, serverLimits(config), budget_, counters_, *this),
@@ -85,7 +85,7 @@
   if (handover_.hasPredecessor())
     limit({ownLimits_.clients / 2, ownLimits_.servers / 2, ownLimits_.bytes / 2});
   const auto learnedState = takeLearnedState(config_.folder);
-  if (handover_.hasPredecessor() && engine_.adopt(clock_.now(), learnedState))
+  if (handover_.hasPredecessor() && engine_.importLearnedState(clock_.now(), learnedState))
     log("goes on with what its predecessor has learned");
   clientServer_.listen(inherited);
   handover_.offer();
--- a/src/gatekeeper/gatekeeper.hpp
+++ b/src/gatekeeper/gatekeeper.hpp
@@ -77,7 +77,7 @@
 
   // Actions
   void send(RequestId id, ServerId server, Time timeout) override;
-  void refuse(RequestId id, Time retryAfter) override;
+  void reject(RequestId id, Time retryAfter) override;
   void fail(RequestId id) override;
   void setTimer(Time wait, std::uint64_t tag) override;
   void subscribe() override {}  // the watch is always open
--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -20,7 +20,7 @@
 }
 
 std::string Gatekeeper::figures() const {
-  return counters_.text(clientServer_.active(), engine_.pool(clock_.now()));
+  return counters_.text(clientServer_.active(), engine_.poolView(clock_.now()));
 }
 
 bool Gatekeeper::suspend(const std::string& instanceId) {
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -56,7 +56,7 @@
   pending.deadline.async_wait([this, id](const Error& error) {
     if (!error) expire(id);
   });
-  engine_.request(
+  engine_.handleRequest(
       now, {id, call.klass, call.plan, call.customer, pending.expires, call.units, call.setSize, call.first});
 }
 
@@ -64,7 +64,7 @@
   const auto found = pending_.find(id);
   if (found == pending_.end()) return;
   release(found);
-  engine_.clientLeft(clock_.now(), id);
+  engine_.handleClientDisconnect(clock_.now(), id);
   if (auto end = pool_.giveUp(id, AttemptResult::cancelled)) ended(std::move(*end));
 }
 
@@ -74,19 +74,19 @@
   const auto found = pending_.find(id);
   if (found == pending_.end()) return;
   if (auto end = pool_.giveUp(id, AttemptResult::timeout)) {
-    end->outcome.finished = false;
-    engine_.outcome(std::max(clock_.now(), found->second.expires), end->outcome);
+    end->outcome.isRequestFinished = false;
+    engine_.handleOutcome(std::max(clock_.now(), found->second.expires), end->outcome);
   }
   if (!pending_.contains(id)) return;
   fail(id);
-  engine_.clientLeft(clock_.now(), id);
+  engine_.handleClientDisconnect(clock_.now(), id);
 }
 
 void Gatekeeper::giveUpAll() {
   while (!pending_.empty()) {
     const RequestId id = pending_.begin()->first;
     fail(id);
-    engine_.clientLeft(clock_.now(), id);
+    engine_.handleClientDisconnect(clock_.now(), id);
     if (auto end = pool_.giveUp(id, AttemptResult::cancelled)) ended(std::move(*end));
   }
 }
@@ -94,9 +94,9 @@
 void Gatekeeper::ended(AttemptEnd&& end) {
   AttemptOutcome& outcome = end.outcome;
   const bool mine = pending_.contains(outcome.id);
-  outcome.finished = !mine || outcome.result == AttemptResult::ok;
+  outcome.isRequestFinished = !mine || outcome.result == AttemptResult::ok;
   if (mine && pending_.at(outcome.id).streams) {
-    outcome.finished = true;
+    outcome.isRequestFinished = true;
     endStream(outcome.id, outcome.result == AttemptResult::ok);
   } else if (mine && outcome.result == AttemptResult::ok) {
     Response served;
@@ -104,7 +104,7 @@
     served.fields = std::move(end.head->fields);
     answer(outcome.id, std::move(served));
   }
-  engine_.outcome(clock_.now(), outcome);
+  engine_.handleOutcome(clock_.now(), outcome);
 }
 
 bool Gatekeeper::begun(RequestId id, const ResponseHead& head) { return beginStream(pending_, id, head); }
@@ -138,7 +138,7 @@
               early ? std::optional(span(timeout)) : std::nullopt);
 }
 
-void Gatekeeper::refuse(RequestId id, Time retryAfter) {
+void Gatekeeper::reject(RequestId id, Time retryAfter) {
   Response refusal;
   refusal.status = http::status::too_many_requests;
   refusal.body = "refused: try again later\n";
@@ -159,7 +159,7 @@
   auto timer = std::make_unique<asio::steady_timer>(io_, span(wait));
   auto& pending = *timer;
   pending.async_wait([this, timer = std::move(timer), tag](const Error& error) {
-    if (!error) engine_.timer(clock_.now(), tag);
+    if (!error) engine_.handleTimer(clock_.now(), tag);
   });
 }
 
--- a/src/gatekeeper/gatekeeper_servers.cpp
+++ b/src/gatekeeper/gatekeeper_servers.cpp
@@ -24,7 +24,7 @@
 
 void Gatekeeper::watch(const asio::ip::tcp::endpoint& agent, long long from) {
   DiscoveryClient::Limits limits;
-  limits.spread = kCallSpread * config_.settings.gateways;
+  limits.spread = kCallSpread * config_.settings.gatewayCount;
   discovery_ = std::make_unique<DiscoveryClient>(
       io_, agent, from, config_.seed, limits, [this](const ServerListUpdate& update) {
         serverListChanged(update, update.reset ? ListUpdateKind::full : ListUpdateKind::delta);
@@ -33,12 +33,12 @@
 
 ListedServer Gatekeeper::listedServerOf(const DiscoveredServer& instance) const {
   ListedServer out;
-  out.worker = serverIdOf(instance.id);
+  out.id = serverIdOf(instance.id);
   out.phase = instance.phase;
   out.zone = indexOf(config_.host.zones, instance.zone);
   out.kind = indexOf(config_.host.kinds, instance.kind);
   out.cell = instance.cell;
-  out.started = instance.startedAtMs;
+  out.startedAt = instance.startedAtMs;
   return out;
 }
 
@@ -48,7 +48,7 @@
   if (kind != ListUpdateKind::delta) unnamed = readyServers_;
   for (const DiscoveredServer& instance : update.instances) {
     members.push_back(listedServerOf(instance));
-    const ServerId server = members.back().worker;
+    const ServerId server = members.back().id;
     unnamed.erase(server);
     knownServers_.insert(server);
     if (instance.phase == ServerPhase::ready) {
@@ -63,7 +63,7 @@
     readyServers_.erase(server);
     pool_.retire(server);
   }
-  engine_.members(clock_.now(), kind, members);
+  engine_.updateServers(clock_.now(), kind, members);
   ready_ = ready_ || !readyServers_.empty();
   serve();
 }
--- a/src/gatekeeper/gatekeeper_upgrade.cpp
+++ b/src/gatekeeper/gatekeeper_upgrade.cpp
@@ -37,7 +37,7 @@
 }
 
 void Gatekeeper::successorStarts() {
-  if (!writeLearnedState(config_.folder, engine_.knowledge(clock_.now())))
+  if (!writeLearnedState(config_.folder, engine_.exportLearnedState(clock_.now())))
     log("what this process has learned is not handed on");
 }
 
--- a/src/gatekeeper/server_response_reader.cpp
+++ b/src/gatekeeper/server_response_reader.cpp
@@ -36,8 +36,8 @@
 
 AttemptResult ServerResponseReader::read(const http::response_header<>& head, AttemptOutcome& outcome) const {
   const auto percent = number<int>(only(head, "X-RateLimit-Used"));
-  if (percent && *percent >= 0 && *percent <= kMaxPercent) outcome.usePercent = *percent;
-  outcome.report = readReport(only(head, "Srv-Load"), reportFields_);
+  if (percent && *percent >= 0 && *percent <= kMaxPercent) outcome.quotaUsePercent = *percent;
+  outcome.loadReport = readReport(only(head, "Srv-Load"), reportFields_);
   if (head.result() == http::status::ok) return AttemptResult::ok;
   const bool busy =
       head.result() == http::status::service_unavailable || head.result() == http::status::gateway_timeout;
--- a/src/gateway/active_request.hpp
+++ b/src/gateway/active_request.hpp
@@ -52,12 +52,12 @@
 // Whether an attempt that ended so may have run the request.
 inline bool mayHaveRunAfter(AttemptResult result) {
   return result != AttemptResult::full && result != AttemptResult::connectFailed &&
-         result != AttemptResult::moot;
+         result != AttemptResult::abandoned;
 }
 
 // Whether an attempt that ended so has reached a server.
 inline bool isDelivered(AttemptResult result) {
-  return result != AttemptResult::connectFailed && result != AttemptResult::moot;
+  return result != AttemptResult::connectFailed && result != AttemptResult::abandoned;
 }
 
 }  // namespace lilacmux
--- a/src/gateway/attempt_dispatcher.cpp
+++ b/src/gateway/attempt_dispatcher.cpp
@@ -45,10 +45,10 @@
   });
   EngineRequest forEngine;
   forEngine.id = id;
-  forEngine.klass = request.requestClass;
-  forEngine.expires = request.expires;
+  forEngine.classIndex = request.requestClass;
+  forEngine.expiresAt = request.expires;
   const auto cluster = request.cluster;
-  cluster->engine().request(now, forEngine);
+  cluster->engine().handleRequest(now, forEngine);
 }
 
 void AttemptDispatcher::clientLeft(RequestId id) {
@@ -56,7 +56,7 @@
   if (!request) return;
   const auto cluster = request->cluster;
   context_.requests.remove(id, true);
-  cluster->engine().clientLeft(steadyMs(), id);
+  cluster->engine().handleClientDisconnect(steadyMs(), id);
   if (auto end = context_.pool.giveUp(id, AttemptResult::cancelled)) attemptEnded(std::move(*end));
 }
 
@@ -68,11 +68,11 @@
   if (auto end = context_.pool.giveUp(id, AttemptResult::timeout)) {
     request->mayHaveRun = request->mayHaveRun || mayHaveRunAfter(end->outcome.result);
     inFlight_.erase(id);
-    end->outcome.finished = false;
-    cluster->engine().outcome(std::max(steadyMs(), request->expires), end->outcome);
+    end->outcome.isRequestFinished = false;
+    cluster->engine().handleOutcome(std::max(steadyMs(), request->expires), end->outcome);
   }
   context_.requests.giveUp(id, kDefaultRetryAfter);
-  cluster->engine().clientLeft(steadyMs(), id);
+  cluster->engine().handleClientDisconnect(steadyMs(), id);
 }
 
 void AttemptDispatcher::giveUpAll() {
@@ -83,11 +83,11 @@
     if (auto end = context_.pool.giveUp(id, AttemptResult::cancelled)) {
       request.mayHaveRun = request.mayHaveRun || mayHaveRunAfter(end->outcome.result);
       inFlight_.erase(id);
-      end->outcome.finished = true;
-      cluster->engine().outcome(steadyMs(), end->outcome);
+      end->outcome.isRequestFinished = true;
+      cluster->engine().handleOutcome(steadyMs(), end->outcome);
     }
     context_.requests.giveUp(id, kDefaultRetryAfter);
-    cluster->engine().clientLeft(steadyMs(), id);
+    cluster->engine().handleClientDisconnect(steadyMs(), id);
   }
 }
 
@@ -134,21 +134,21 @@
   const auto cluster = std::move(flight->second);
   inFlight_.erase(flight);
   ActiveRequest* request = context_.requests.find(id);
-  outcome.finished = !request || outcome.result == AttemptResult::ok;
+  outcome.isRequestFinished = !request || outcome.result == AttemptResult::ok;
   if (request) {
     request->mayHaveRun = request->mayHaveRun || mayHaveRunAfter(outcome.result);
     const bool delivered = isDelivered(outcome.result);
     if (delivered) ++request->delivered;
     context_.requests.settleRetryToken(*request, delivered);
     takeResponse(*request, end);
-    const auto isOpen = [&] { return !outcome.finished && context_.requests.contains(id); };
+    const auto isOpen = [&] { return !outcome.isRequestFinished && context_.requests.contains(id); };
     if (isOpen() && request->delivered >= request->route->maxAttempts) {
-      outcome.finished = true;
+      outcome.isRequestFinished = true;
       context_.requests.giveUp(id, kDefaultRetryAfter);
     }
     if (isOpen() && !takeRetryToken(*request)) return awaitRetryToken(outcome, cluster, 1);
   }
-  cluster->engine().outcome(steadyMs(), outcome);
+  cluster->engine().handleOutcome(steadyMs(), outcome);
 }
 
 // What the attempt brought goes to the client, or is kept for the case that no other succeeds.
@@ -156,7 +156,7 @@
   AttemptOutcome& outcome = end.outcome;
   const bool succeeded = outcome.result == AttemptResult::ok;
   if (request.streams) {
-    outcome.finished = true;
+    outcome.isRequestFinished = true;
     context_.requests.endStream(outcome.id, succeeded);
   } else if (end.head && mayPassOn(request, end.head->status)) {
     Response response;
@@ -197,11 +197,11 @@
     ActiveRequest* request = context_.requests.find(outcome.id);
     if (request && !takeRetryToken(*request)) {
       if (check < kRetryTokenChecks) return awaitRetryToken(outcome, std::move(cluster), check + 1);
-      outcome.finished = true;
+      outcome.isRequestFinished = true;
       context_.requests.giveUp(outcome.id, kDefaultRetryAfter);
     }
-    outcome.finished = outcome.finished || !request;
-    cluster->engine().outcome(steadyMs(), outcome);
+    outcome.isRequestFinished = outcome.isRequestFinished || !request;
+    cluster->engine().handleOutcome(steadyMs(), outcome);
   });
 }
 
@@ -217,7 +217,7 @@
   context_.requests.passPiece(id, std::move(bytes));
 }
 
-void AttemptDispatcher::refuse(RequestId id, Time retryAfter) { context_.requests.giveUp(id, retryAfter); }
+void AttemptDispatcher::reject(RequestId id, Time retryAfter) { context_.requests.giveUp(id, retryAfter); }
 
 void AttemptDispatcher::fail(RequestId id) { context_.requests.giveUp(id, kDefaultRetryAfter); }
 
@@ -226,7 +226,7 @@
   auto& pending = *timer;
   pending.async_wait(
       [timer = std::move(timer), cluster = cluster.shared_from_this(), tag](const Error& error) {
-        if (!error) cluster->engine().timer(steadyMs(), tag);
+        if (!error) cluster->engine().handleTimer(steadyMs(), tag);
       });
 }
 
--- a/src/gateway/attempt_dispatcher.hpp
+++ b/src/gateway/attempt_dispatcher.hpp
@@ -51,7 +51,7 @@
 
   // ClusterHost
   void send(Cluster& cluster, RequestId id, ServerId server, Time timeout) override;
-  void refuse(RequestId id, Time retryAfter) override;
+  void reject(RequestId id, Time retryAfter) override;
   void fail(RequestId id) override;
   void setTimer(Cluster& cluster, Time wait, std::uint64_t tag) override;
   void log(const std::string& line) override { context_.log(line); }
--- a/src/gateway/cluster.cpp
+++ b/src/gateway/cluster.cpp
@@ -14,7 +14,7 @@
 
 EngineSettings engineSettings(const RequestClasses& classes, std::size_t gateways) {
   EngineSettings out;
-  out.gateways = static_cast<unsigned>(std::max<std::size_t>(1, gateways));
+  out.gatewayCount = static_cast<unsigned>(std::max<std::size_t>(1, gateways));
   out.zone = kOwnZone;
   out.classes = classes.settings();
   out.plans.emplace_back();  // one plan without limits: quotas are applied before a request comes here
@@ -42,12 +42,12 @@
   std::vector<ListedServer> servers;
   for (const Instance& instance : instances) {
     ListedServer server;
-    server.worker = serverIdOf(instance.id);
+    server.id = serverIdOf(instance.id);
     server.phase = instance.draining ? ServerPhase::draining : ServerPhase::ready;
     server.zone = instance.zone == zone_ ? kOwnZone : kOtherZone;
     servers.push_back(server);
   }
-  engine_->members(now, ListUpdateKind::full, servers);
+  engine_->updateServers(now, ListUpdateKind::full, servers);
 }
 
 }  // namespace lilacmux
--- a/src/gateway/cluster.hpp
+++ b/src/gateway/cluster.hpp
@@ -24,7 +24,7 @@
   // Sends an attempt; `timeout` in ms, 0: none but the request's own deadline.
   virtual void send(Cluster& cluster, RequestId id, ServerId server, Time timeout) = 0;
   // No server takes the request; `retryAfter`: advice to the client, ms.
-  virtual void refuse(RequestId id, Time retryAfter) = 0;
+  virtual void reject(RequestId id, Time retryAfter) = 0;
   // The request has failed and is not retried.
   virtual void fail(RequestId id) = 0;
   // Calls the engine's timer(tag) in `wait` ms.
@@ -51,7 +51,7 @@
 
  private:
   void send(RequestId id, ServerId server, Time timeout) override { host_.send(*this, id, server, timeout); }
-  void refuse(RequestId id, Time retryAfter) override { host_.refuse(id, retryAfter); }
+  void reject(RequestId id, Time retryAfter) override { host_.reject(id, retryAfter); }
   void fail(RequestId id) override { host_.fail(id); }
   void setTimer(Time wait, std::uint64_t tag) override { host_.setTimer(*this, wait, tag); }
   void subscribe() override {}
--- a/src/gateway/request_classes.cpp
+++ b/src/gateway/request_classes.cpp
@@ -5,7 +5,7 @@
 namespace lilacmux {
 namespace {
 
-constexpr double kLateWorth = 0.5;  // value of an answer that comes after the latency target
+constexpr double kLateWeight = 0.5;  // value of an answer that comes after the latency target
 
 }  // namespace
 
@@ -17,10 +17,10 @@
   const auto [at, isNew] = index_.try_emplace({route.type, target}, static_cast<unsigned>(settings_.size()));
   if (isNew) {
     ClassSettings added;
-    added.aim = target;
+    added.latencyTarget = target;
     added.deadline = route.timeoutMs;
-    added.repeat = route.type == RouteType::nonIdempotent ? Idempotency::unsafe : Idempotency::safe;
-    added.lateWorth = kLateWorth;
+    added.idempotency = route.type == RouteType::nonIdempotent ? Idempotency::unsafe : Idempotency::safe;
+    added.lateWeight = kLateWeight;
     settings_.push_back(added);
   }
   return at->second;
--- a/src/gateway/upstream_response_reader.cpp
+++ b/src/gateway/upstream_response_reader.cpp
@@ -28,7 +28,7 @@
   if (status >= 500) return AttemptResult::error;
   if (status >= 300) return AttemptResult::ok;  // an answer of the server's own, which goes on as it is
   const bool whole = countOf(head, "X-Server-Seal") == 1 && countOf(head, "Content-Encoding") == 0;
-  return whole ? AttemptResult::ok : AttemptResult::spoilt;
+  return whole ? AttemptResult::ok : AttemptResult::malformed;
 }
 
 http::fields UpstreamResponseReader::forwardedFields(const http::response_header<>& head) const {
--- a/src/quota/admission.cpp
+++ b/src/quota/admission.cpp
@@ -79,7 +79,7 @@
                                       kMinAdmitFraction, 1.0);
     bucket.lastReading = now;
   } else if (now - bucket.lastReading > 2 * kMeterPeriod) {
-    bucket.admitFraction = climbed(bucket.admitFraction, now - bucket.periodFrom, kFractionRecovery);
+    bucket.admitFraction = recovered(bucket.admitFraction, now - bucket.periodFrom, kFractionRecovery);
   }
   bucket.periodGranted = std::max(0.0, bucket.tokens);
   bucket.periodExecuted = 0;
--- a/src/simulator/event_frames.cpp
+++ b/src/simulator/event_frames.cpp
@@ -27,7 +27,7 @@
 // Codes of the records of a reply.
 enum class ActionCode : std::uint8_t {
   send = 10,
-  refuse = 20,
+  reject = 20,
   fail = 30,
   setTimer = 50,
   log = 90,
@@ -43,7 +43,7 @@
   reset = 104,
   timeout = 110,
   connectFailed = 111,
-  moot = 114,
+  abandoned = 114,
   cancelled = 125,
 };
 
@@ -72,7 +72,7 @@
     rest_.remove_prefix(n);
     return out;
   }
-  ServerId worker() {
+  ServerId server() {
     const ServerId address = get<std::uint32_t>();
     return address | ServerId{get<std::uint16_t>()} << 32;
   }
@@ -99,8 +99,8 @@
       return AttemptResult::reset;
     case OutcomeCode::cancelled:
       return AttemptResult::cancelled;
-    case OutcomeCode::moot:
-      return AttemptResult::moot;
+    case OutcomeCode::abandoned:
+      return AttemptResult::abandoned;
     default:
       throw std::runtime_error("wire: unknown outcome " + std::to_string(code));
   }
@@ -134,11 +134,11 @@
   std::vector<ListedServer> list(rows);
   for (ListedServer& entry : list) {
     entry.phase = phase(in.get<std::uint8_t>());
-    entry.worker = in.worker();
+    entry.id = in.server();
     in.get<float>();  // a weight against the others, which nothing here goes by
     entry.zone = in.get<std::uint8_t>();
     entry.kind = in.get<std::uint8_t>();
-    entry.started = in.get<double>();
+    entry.startedAt = in.get<double>();
     entry.cell = in.get<std::uint16_t>();
   }
   constexpr ListUpdateKind kKinds[] = {ListUpdateKind::failed, ListUpdateKind::delta, ListUpdateKind::cached,
@@ -149,15 +149,15 @@
 void readRequest(RecordReader& in, EventHandler& events) {
   EngineRequest out;
   out.id = in.get<std::uint32_t>();
-  out.klass = in.get<std::uint8_t>();
+  out.classIndex = in.get<std::uint8_t>();
   out.plan = in.get<std::uint32_t>();
-  out.customer = in.get<std::uint64_t>();
-  out.expires = in.get<double>();
+  out.tenant = in.get<std::uint64_t>();
+  out.expiresAt = in.get<double>();
   out.units = in.get<float>();
   const float set = in.get<float>();
-  out.setSize = set >= 1 && set < 65536 ? static_cast<unsigned>(set) : 1;
+  out.gatewaySetSize = set >= 1 && set < 65536 ? static_cast<unsigned>(set) : 1;
   const float first = in.get<float>();
-  out.first = first >= 0 && first < 65536 ? static_cast<unsigned>(first) : 0;
+  out.firstGateway = first >= 0 && first < 65536 ? static_cast<unsigned>(first) : 0;
   in.get<std::uint16_t>();  // state bits
   events.request(out);
 }
@@ -166,13 +166,13 @@
   AttemptOutcome out;
   out.id = in.get<std::uint32_t>();
   out.result = result(in.get<std::uint8_t>());
-  out.attempt = in.get<std::uint16_t>();
-  out.trueUnits = in.get<std::uint16_t>();
-  out.worker = in.worker();
-  out.usePercent = static_cast<int>(in.get<std::uint16_t>()) - 1;
+  out.attemptIndex = in.get<std::uint16_t>();
+  out.actualUnits = in.get<std::uint16_t>();
+  out.server = in.server();
+  out.quotaUsePercent = static_cast<int>(in.get<std::uint16_t>()) - 1;
   out.elapsed = in.get<double>();
-  out.finished = in.get<std::uint8_t>() != 0;
-  out.report = readReport(in);
+  out.isRequestFinished = in.get<std::uint8_t>() != 0;
+  out.loadReport = readReport(in);
   events.outcome(out);
 }
 
@@ -263,20 +263,20 @@
   ++records_;
 }
 
-void ReplyWriter::putServer(ServerId worker) {
-  put(static_cast<std::uint32_t>(worker));
-  put(static_cast<std::uint16_t>(worker >> 32));
+void ReplyWriter::putServer(ServerId server) {
+  put(static_cast<std::uint32_t>(server));
+  put(static_cast<std::uint16_t>(server >> 32));
 }
 
-void ReplyWriter::send(RequestId id, ServerId worker, Time timeout) {
+void ReplyWriter::send(RequestId id, ServerId server, Time timeout) {
   open(static_cast<std::uint8_t>(ActionCode::send));
   put(id);
-  putServer(worker);
+  putServer(server);
   put(timeout);
 }
 
-void ReplyWriter::refuse(RequestId id, Time retryAfter) {
-  open(static_cast<std::uint8_t>(ActionCode::refuse));
+void ReplyWriter::reject(RequestId id, Time retryAfter) {
+  open(static_cast<std::uint8_t>(ActionCode::reject));
   put(id);
   put(retryAfter);
 }
--- a/src/simulator/event_frames.hpp
+++ b/src/simulator/event_frames.hpp
@@ -54,8 +54,8 @@
   // The whole frame; valid until the next reply begins.
   const std::string& finish();
 
-  void send(RequestId id, ServerId worker, Time timeout) override;
-  void refuse(RequestId id, Time retryAfter) override;
+  void send(RequestId id, ServerId server, Time timeout) override;
+  void reject(RequestId id, Time retryAfter) override;
   void fail(RequestId id) override;
   void setTimer(Time wait, std::uint64_t tag) override;
   void subscribe() override;
@@ -69,7 +69,7 @@
     bytes_.append(raw, sizeof(T));
   }
   void open(std::uint8_t code);
-  void putServer(ServerId worker);
+  void putServer(ServerId server);
 
   std::string bytes_;
   std::uint32_t records_ = 0;
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -36,12 +36,12 @@
                     .first->second;
   }
   void members(ListUpdateKind kind, const std::vector<ListedServer>& list) override {
-    live().members(clock_, kind, list);
+    live().updateServers(clock_, kind, list);
   }
-  void request(const EngineRequest& request) override { live().request(clock_, request); }
-  void outcome(const AttemptOutcome& outcome) override { live().outcome(clock_, outcome); }
-  void clientLeft(RequestId id) override { live().clientLeft(clock_, id); }
-  void timer(std::uint64_t tag) override { live().timer(clock_, tag); }
+  void request(const EngineRequest& request) override { live().handleRequest(clock_, request); }
+  void outcome(const AttemptOutcome& outcome) override { live().handleOutcome(clock_, outcome); }
+  void clientLeft(RequestId id) override { live().handleClientDisconnect(clock_, id); }
+  void timer(std::uint64_t tag) override { live().handleTimer(clock_, tag); }
   void stop() override {
     engines_.erase(number_);
     current_ = nullptr;
--- a/src/upstream/connection.cpp
+++ b/src/upstream/connection.cpp
@@ -41,8 +41,8 @@
                                                std::optional<Clock::duration> timeout) {
   outcome_ = AttemptOutcome{};
   outcome_.id = id;
-  outcome_.attempt = attempt;
-  outcome_.worker = server;
+  outcome_.attemptIndex = attempt;
+  outcome_.server = server;
   startedAt_ = Clock::now();
   giveUpAt_ = timeout ? startedAt_ + *timeout : Clock::time_point::max();
   out_ = std::move(message);
@@ -59,7 +59,7 @@
 
 AttemptOutcome UpstreamConnectionPool::Connection::stop(AttemptResult result) {
   const bool sent =
-      written_ || responseBegun_ || result == AttemptResult::cancelled || result == AttemptResult::moot;
+      written_ || responseBegun_ || result == AttemptResult::cancelled || result == AttemptResult::abandoned;
   busy_ = false;
   outcome_.result = sent ? result : AttemptResult::connectFailed;
   stamp();
@@ -115,7 +115,7 @@
   if (!busy_) return pool_.drop(*this);
   if (!connected_) return end(AttemptResult::connectFailed);
   if (streaming_) return end(AttemptResult::reset);
-  end(responseBegun_ && Clock::now() < giveUpAt_ ? AttemptResult::spoilt : AttemptResult::timeout);
+  end(responseBegun_ && Clock::now() < giveUpAt_ ? AttemptResult::malformed : AttemptResult::timeout);
 }
 
 void UpstreamConnectionPool::Connection::connect() {
@@ -133,7 +133,7 @@
                           socket_.set_option(tcp::no_delay(true), ignored);
                           socket_.non_blocking(true, ignored);
                           connected_ = true;
-                          if (isSuperseded()) return end(AttemptResult::moot);
+                          if (isSuperseded()) return end(AttemptResult::abandoned);
                           if (!pool_.leadsTo(*this)) return end(AttemptResult::connectFailed);
                           if (Clock::now() >= giveUpAt_) return end(AttemptResult::connectFailed);
                           read();
@@ -142,7 +142,7 @@
 }
 
 void UpstreamConnectionPool::Connection::connectFailed(const Error& error) {
-  end(isLocal(error) ? AttemptResult::moot : AttemptResult::connectFailed);
+  end(isLocal(error) ? AttemptResult::abandoned : AttemptResult::connectFailed);
 }
 
 void UpstreamConnectionPool::Connection::endHead() {
--- a/src/upstream/connection.hpp
+++ b/src/upstream/connection.hpp
@@ -157,8 +157,8 @@
   std::optional<http::response_parser<Body>> parser_;
   UpstreamRequest out_;
   AttemptOutcome outcome_;
-  AttemptResult result_ = AttemptResult::spoilt;  // on the response whose head has come
-  std::optional<ResponseHead> head_;              // of one that goes on
+  AttemptResult result_ = AttemptResult::malformed;  // on the response whose head has come
+  std::optional<ResponseHead> head_;                 // of one that goes on
   Clock::time_point startedAt_, giveUpAt_, firstByteAt_;
   std::uint64_t requestedBytes_ = 0;  // bytes of a large response that have come or are on their way
   AppendedResponseScanner appended_;
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -66,10 +66,10 @@
   if (!connection) {
     AttemptOutcome outcome;
     outcome.id = id;
-    outcome.attempt = attempt;
-    outcome.worker = target;
+    outcome.attemptIndex = attempt;
+    outcome.server = target;
     // For want of room here the server is not to blame.
-    outcome.result = server == servers_.end() ? AttemptResult::connectFailed : AttemptResult::moot;
+    outcome.result = server == servers_.end() ? AttemptResult::connectFailed : AttemptResult::abandoned;
     return report(outcome);
   }
   busy_[id] = connection;
--- a/src/upstream/connection_response.cpp
+++ b/src/upstream/connection_response.cpp
@@ -110,23 +110,23 @@
   Error error;
   if (!parser_->is_header_done()) {
     const bool head = feed(*parser_, in_, error, Feed::head);
-    if (error || (head && !readable())) return end(AttemptResult::spoilt);
+    if (error || (head && !readable())) return end(AttemptResult::malformed);
     if (head && parser_->get().result_int() < 200) return awaitNextResponse();
-    if (head && !isOurs()) return end(AttemptResult::spoilt);
+    if (head && !isOurs()) return end(AttemptResult::malformed);
     if (head) result_ = pool_.reader_.read(parser_->get(), outcome_);
     if (head && pool_.reader_.isForwardable(result_)) head_ = headOf();
   }
   count(n);
   const bool done = feed(*parser_, in_, error);
-  if (error) return end(streaming_ ? AttemptResult::reset : AttemptResult::spoilt);
+  if (error) return end(streaming_ ? AttemptResult::reset : AttemptResult::malformed);
   if (discarding_) return discardSurplus(done);
-  if (hasAppendedResponse()) return end(streaming_ ? AttemptResult::reset : AttemptResult::spoilt);
+  if (hasAppendedResponse()) return end(streaming_ ? AttemptResult::reset : AttemptResult::malformed);
   if (streaming_) return forward();
   auto& body = parser_->get().body();
   // Nobody reads what stands in a response that does not go on.
   if (parser_->is_header_done() && !pool_.reader_.isForwardable(result_)) body.consume(body.size());
-  if (!bytes_.growTo(body.capacity() + in_.capacity())) return end(AttemptResult::spoilt);
-  if (isLarge()) return result_ == AttemptResult::ok ? stream() : end(AttemptResult::spoilt);
+  if (!bytes_.growTo(body.capacity() + in_.capacity())) return end(AttemptResult::malformed);
+  if (isLarge()) return result_ == AttemptResult::ok ? stream() : end(AttemptResult::malformed);
   if (done) return responseComplete();
   read();
 }
@@ -196,7 +196,7 @@
 }
 
 void UpstreamConnectionPool::Connection::awaitNextResponse() {
-  if (++interim_ > kMaxInterim) return end(AttemptResult::spoilt);
+  if (++interim_ > kMaxInterim) return end(AttemptResult::malformed);
   await();
   arm(giveUpAt_);
   if (in_.size() > 0) return take();
--- a/src/upstream/pending_requests.hpp
+++ b/src/upstream/pending_requests.hpp
@@ -37,9 +37,9 @@
                       Ended ended) {
   AttemptEnd end;
   end.outcome.id = id;
-  end.outcome.attempt = attempt;
-  end.outcome.worker = server;
-  end.outcome.result = AttemptResult::moot;
+  end.outcome.attemptIndex = attempt;
+  end.outcome.server = server;
+  end.outcome.result = AttemptResult::abandoned;
   boost::asio::post(io,
                     [ended = std::move(ended), end = std::move(end)]() mutable { ended(std::move(end)); });
 }
--- a/tests/decision/attempts_test.cpp
+++ b/tests/decision/attempts_test.cpp
@@ -9,7 +9,7 @@
 
 TEST(Attempts, UnsafeThatMayHaveRunFails) {
   for (const AttemptResult result : {AttemptResult::error, AttemptResult::timeout, AttemptResult::reset,
-                                     AttemptResult::cancelled, AttemptResult::spoilt}) {
+                                     AttemptResult::cancelled, AttemptResult::malformed}) {
     Bench b;
     b.list({member(1), member(2)});
     const RequestId id = b.ask(2);
@@ -22,7 +22,7 @@
 
 // Malformed responses come from any server alike: they fail the attempt and leave the server in.
 TEST(Attempts, AMalformedResponseMayHaveRunAndDoesNotEjectItsServer) {
-  for (const AttemptResult result : {AttemptResult::spoilt, AttemptResult::error}) {
+  for (const AttemptResult result : {AttemptResult::malformed, AttemptResult::error}) {
     Bench b;
     b.list({member(1), member(2)});
     std::map<ServerId, unsigned> sent;
@@ -30,11 +30,11 @@
       b.now += 50;
       const RequestId id = b.ask(2, 0, static_cast<TenantId>(i));
       ASSERT_TRUE(b.wasSent(id));
-      ++sent[b.lastWorker()];
-      b.end(id, b.lastWorker() == 1 ? result : AttemptResult::ok);
-      EXPECT_EQ(b.hasFailed(id), b.lastWorker() == 1);
+      ++sent[b.lastServer()];
+      b.end(id, b.lastServer() == 1 ? result : AttemptResult::ok);
+      EXPECT_EQ(b.hasFailed(id), b.lastServer() == 1);
     }
-    EXPECT_EQ(sent[1] > 8, result == AttemptResult::spoilt) << sent[1];
+    EXPECT_EQ(sent[1] > 8, result == AttemptResult::malformed) << sent[1];
   }
 }
 
@@ -43,10 +43,10 @@
     Bench b;
     b.list({member(1), member(2)});
     const RequestId id = b.ask(2);
-    const ServerId first = b.lastWorker();
+    const ServerId first = b.lastServer();
     b.end(id, result);
     EXPECT_EQ(b.attempts(id), 2u);
-    EXPECT_NE(b.lastWorker(), first);
+    EXPECT_NE(b.lastServer(), first);
   }
 }
 
@@ -54,10 +54,10 @@
   Bench b;
   b.list({member(1, 0), member(2, 0), member(3, 1), member(4, 1)});
   const RequestId id = b.ask(1);
-  const unsigned zone = b.lastWorker() > 2;
+  const unsigned zone = b.lastServer() > 2;
   b.end(id, AttemptResult::reset);
   ASSERT_EQ(b.attempts(id), 2u);
-  EXPECT_EQ(b.lastWorker() > 2, zone != 0);
+  EXPECT_EQ(b.lastServer() > 2, zone != 0);
   b.now += 2500;  // past the window
   b.end(id, AttemptResult::reset);
   EXPECT_EQ(b.attempts(id), 2u);
@@ -65,14 +65,14 @@
 }
 
 TEST(Attempts, TimeOutAtTheDeadlineStillGetsItsAnswer) {
-  for (unsigned klass = 0; klass < 3; ++klass) {
+  for (unsigned classIndex = 0; classIndex < 3; ++classIndex) {
     Bench b;
     b.list({member(1)});
-    const RequestId id = b.ask(klass, 0, 1, 1, 2, 500);
+    const RequestId id = b.ask(classIndex, 0, 1, 1, 2, 500);
     b.now += 500;
     b.end(id, AttemptResult::timeout, 500);
     EXPECT_EQ(b.recorder.finals[id], 1u);
-    EXPECT_EQ(b.gateway.requestsHeld(), 0u);
+    EXPECT_EQ(b.gateway.pendingRequestCount(), 0u);
   }
 }
 
@@ -87,7 +87,7 @@
   ASSERT_FALSE(b.recorder.timers.empty());
   for (int i = 0; i < 200 && b.recorder.finals[id] == 0; ++i) {
     b.now += b.recorder.timers.back().first;
-    b.gateway.timer(b.now, id);
+    b.gateway.handleTimer(b.now, id);
   }
   EXPECT_EQ(b.recorder.finals[id], 1u);
   EXPECT_LE(b.now, 3000);
@@ -97,7 +97,7 @@
   Bench b;
   b.list({member(1), member(2)});
   const RequestId id = b.ask();
-  b.gateway.clientLeft(b.now, id);
+  b.gateway.handleClientDisconnect(b.now, id);
   b.end(id, AttemptResult::reset, 10, -1, true);
   EXPECT_EQ(b.attempts(id), 1u);
   EXPECT_EQ(b.recorder.finals[id], 0u);
@@ -129,7 +129,7 @@
     for (Time end = b.now + span; b.now < end; b.now += 20) {
       const RequestId id = b.ask(0, 0, ++c);
       while (b.recorder.sends.back().id == id && b.recorder.finals[id] == 0) {
-        const bool hit = b.lastWorker() == 1;
+        const bool hit = b.lastServer() == 1;
         toBad += hit;
         const unsigned before = b.attempts(id);
         b.end(id, hit && bad ? AttemptResult::connectFailed : AttemptResult::ok, 50);
@@ -170,7 +170,7 @@
   for (int i = 0; i < 100; ++i) {
     b.now += 10;
     const RequestId id = b.ask(0, 0, b.last);
-    for (; b.lastWorker() == 1; ++toDead) b.end(id, AttemptResult::connectFailed, 1);
+    for (; b.lastServer() == 1; ++toDead) b.end(id, AttemptResult::connectFailed, 1);
     b.end(id, AttemptResult::ok, 50);
   }
   EXPECT_LE(toDead, 10);
@@ -220,8 +220,8 @@
     for (Time end = b.now + span; b.now < end; b.now += 25) {
       const RequestId id = b.ask(2, 0, ++c);
       if (!b.wasSent(id)) continue;
-      toCut += b.lastWorker() == 1;
-      if (!cut || b.lastWorker() != 1) b.end(id, AttemptResult::ok, 50);
+      toCut += b.lastServer() == 1;
+      if (!cut || b.lastServer() != 1) b.end(id, AttemptResult::ok, 50);
     }
     return toCut;
   };
@@ -240,9 +240,9 @@
   };
   broken([](EngineSettings& s) { s.plans[0].rate = -1; });
   broken([](EngineSettings& s) { s.plans[0].burst = std::numeric_limits<double>::quiet_NaN(); });
-  broken([](EngineSettings& s) { s.warmUp = std::numeric_limits<double>::infinity(); });
-  broken([](EngineSettings& s) { s.self = 2; });
-  broken([](EngineSettings& s) { s.gateways = 0; });
+  broken([](EngineSettings& s) { s.warmUpTime = std::numeric_limits<double>::infinity(); });
+  broken([](EngineSettings& s) { s.gatewayIndex = 2; });
+  broken([](EngineSettings& s) { s.gatewayCount = 0; });
   broken([](EngineSettings& s) { s.classes.clear(); });
 }
 
@@ -255,7 +255,7 @@
     for (ServerId w = 1; w <= 6; ++w) all.push_back(member(w, w > 3));
     b.list(all);
     struct Open {
-      unsigned klass;
+      unsigned classIndex;
       Time expires, ranSince = -1;
       bool out = false, done = false, ran = false;
       unsigned zone = 0;
@@ -270,17 +270,17 @@
         Open& o = open.at(s.id);
         EXPECT_FALSE(o.out) << "two attempts out at once";
         EXPECT_FALSE(o.done);
-        EXPECT_FALSE(barred.contains(s.worker));
-        if (o.ran && o.klass == 2) ADD_FAILURE() << "an unsafe request was repeated";
-        if (o.ran && o.klass == 1) {
-          EXPECT_EQ(o.zone, static_cast<unsigned>(s.worker > 3));
+        EXPECT_FALSE(barred.contains(s.server));
+        if (o.ran && o.classIndex == 2) ADD_FAILURE() << "an unsafe request was repeated";
+        if (o.ran && o.classIndex == 1) {
+          EXPECT_EQ(o.zone, static_cast<unsigned>(s.server > 3));
           EXPECT_LE(b.now, o.ranSince + 2000);
         }
         o.out = true;
       }
       for (auto& [id, o] : open) {
-        if (b.recorder.refused.contains(id) && o.ran) {
-          EXPECT_EQ(o.klass, 0u);
+        if (b.recorder.rejected.contains(id) && o.ran) {
+          EXPECT_EQ(o.classIndex, 0u);
         }
         if (b.recorder.finals[id]) o.done = true;
       }
@@ -296,14 +296,14 @@
         }
         const auto tag = due[i].second;
         due.erase(due.begin() + static_cast<long>(i));
-        b.gateway.timer(b.now, tag);
+        b.gateway.handleTimer(b.now, tag);
         check();
       }
       if (step < 3400 && rng() % 3 == 0) {
-        const unsigned klass = rng() % 3;
+        const unsigned classIndex = rng() % 3;
         const Time patience = static_cast<Time>(200 + rng() % 2500);
-        open.emplace(b.last + 1, Open{klass, b.now + patience});
-        b.ask(klass, rng() % 3, rng() % 40, static_cast<double>(1 + rng() % 3), 2, patience);
+        open.emplace(b.last + 1, Open{classIndex, b.now + patience});
+        b.ask(classIndex, rng() % 3, rng() % 40, static_cast<double>(1 + rng() % 3), 2, patience);
         check();
       }
       for (auto& [id, o] : open) {
@@ -314,7 +314,7 @@
         const AttemptResult result = b.now >= o.expires ? AttemptResult::timeout : kResults[rng() % 7];
         ServerId at = 0;
         for (const Sent& s : b.recorder.sends)
-          if (s.id == id) at = s.worker;
+          if (s.id == id) at = s.server;
         o.out = false;
         if (result != AttemptResult::full && result != AttemptResult::connectFailed && !o.ran) {
           o.ran = true, o.zone = at > 3;
@@ -328,9 +328,9 @@
         ListedServer m = all[rng() % all.size()];
         m.phase = rng() % 2 ? ServerPhase::ready : rng() % 2 ? ServerPhase::draining : ServerPhase::gone;
         if (m.phase == ServerPhase::ready)
-          barred.erase(m.worker);
+          barred.erase(m.id);
         else
-          barred.insert(m.worker);
+          barred.insert(m.id);
         b.list({m}, ListUpdateKind::delta);
       }
     }
@@ -343,7 +343,7 @@
 // back.
 TEST(ConcurrencyLimit, OfAWholeGatewayFallsFarBelowOneForEachServer) {
   EngineSettings s = settings();
-  s.gateways = 200;
+  s.gatewayCount = 200;
   s.plans[0].rate = 1000, s.plans[0].burst = 100000;
   Bench b(s);
   std::vector<ListedServer> fleet;
@@ -381,8 +381,8 @@
     b.now += 20;
     const RequestId id = b.ask(0, 0, b.last);
     ASSERT_TRUE(b.wasSent(id)) << i;
-    while (b.lastWorker() <= 3 && !b.wasRefused(id)) b.end(id, AttemptResult::full, 25);
-    if (!b.wasRefused(id)) b.end(id, AttemptResult::ok, 300);  // neither late nor early
+    while (b.lastServer() <= 3 && !b.wasRejected(id)) b.end(id, AttemptResult::full, 25);
+    if (!b.wasRejected(id)) b.end(id, AttemptResult::ok, 300);  // neither late nor early
   }
   int out = 0;
   while (out < 100 && b.wasSent(b.ask(0, 0, b.last))) ++out;
@@ -392,7 +392,7 @@
 // What a large request takes beyond a small one is its own work: it says nothing of load.
 TEST(ConcurrencyLimit, LargeRequestsAmongSmallOnesDoNotCloseIt) {
   EngineSettings s = settings();
-  s.mostUnits = 4;
+  s.maxUnits = 4;
   s.plans[0].rate = 1000, s.plans[0].burst = 100000;
   Bench b(s);
   b.list({member(1), member(2), member(3), member(4)});
--- a/tests/decision/guards_test.cpp
+++ b/tests/decision/guards_test.cpp
@@ -6,10 +6,10 @@
 namespace lilacmux::test {
 namespace {
 
-double ceilingUnits(Bench& b, Time span, TenantId customer = 1) {
+double ceilingUnits(Bench& b, Time span, TenantId tenant = 1) {
   double units = 0;
   for (Time end = b.now + span; b.now < end; b.now += 10) {
-    const RequestId id = b.ask(0, 2, customer, 2);
+    const RequestId id = b.ask(0, 2, tenant, 2);
     if (!b.wasSent(id)) continue;
     units += 2;
     b.end(id, AttemptResult::ok, 10, 0);
@@ -58,7 +58,7 @@
   for (TenantId c = 0; c < 40; ++c) {
     const RequestId id = b.ask(0, 0, c);
     ASSERT_TRUE(b.wasSent(id));
-    EXPECT_EQ(b.lastWorker(), 4u);
+    EXPECT_EQ(b.lastServer(), 4u);
     b.end(id, AttemptResult::ok);
   }
 }
@@ -66,7 +66,7 @@
 TEST(Drain, EmptyListRefuses) {
   Bench b;
   const RequestId id = b.ask();
-  EXPECT_TRUE(b.wasRefused(id));
+  EXPECT_TRUE(b.wasRejected(id));
 }
 
 TEST(SlowStart, SendsStayUnderTheShareOfAWarmServersAndAreSpreadOut) {
@@ -79,7 +79,7 @@
     for (Time end = b.now + span; b.now < end; b.now += 10) {
       const RequestId id = b.ask(0, 0, b.last);
       if (!b.wasSent(id)) continue;
-      ++into[b.lastWorker()];
+      ++into[b.lastServer()];
       out.push_back(id);
       if (out.size() > 8) {
         b.end(out.front(), AttemptResult::ok, 50);
@@ -102,24 +102,24 @@
 // at every server allows, instead of one each at once.
 TEST(SlowStart, RestartedGatewaysBeforeAFleetThatWarmsUpSendLittleAtFirst) {
   EngineSettings s = settings();
-  s.gateways = 200;
+  s.gatewayCount = 200;
   s.plans[0].rate = 1000, s.plans[0].burst = 100000;
   unsigned sent = 0;
-  for (unsigned g = 0; g < s.gateways; ++g) {
-    s.self = g;
+  for (unsigned g = 0; g < s.gatewayCount; ++g) {
+    s.gatewayIndex = g;
     Recorder recorder;
     DecisionEngine gateway(s, 1000 + g, 50000, recorder);
-    gateway.members(50000, ListUpdateKind::cached, {member(1, 0, 50000), member(2, 0, 50000)});
-    for (RequestId i = 0; i < 20; ++i) gateway.request(50000 + 50 * i, {i, 0, 0, 1, 60000, 1, 200});
+    gateway.updateServers(50000, ListUpdateKind::cached, {member(1, 0, 50000), member(2, 0, 50000)});
+    for (RequestId i = 0; i < 20; ++i) gateway.handleRequest(50000 + 50 * i, {i, 0, 0, 1, 60000, 1, 200});
     sent += static_cast<unsigned>(recorder.sends.size());
   }
-  EXPECT_LE(sent, 2 * s.fallMultiple);  // a multiple of one for each of two servers in one span
+  EXPECT_LE(sent, 2 * s.overloadFactor);  // a multiple of one for each of two servers in one span
 }
 
 // A tenant whose set of gateways grows leaves this gateway a smaller part of its ceiling at once.
 TEST(HardLimit, FollowsTheTenantsSetOfGateways) {
   EngineSettings s = settings();
-  s.gateways = 40;
+  s.gatewayCount = 40;
   s.plans[2].rate = 1000, s.plans[2].burst = 1000;
   Bench b(s);
   b.list({member(1), member(2), member(3), member(4)});
@@ -171,8 +171,8 @@
     const RequestId id = b.ask(0, 0, 1000 + i);
     if (b.wasSent(id)) b.end(id, i % 3 ? AttemptResult::ok : AttemptResult::timeout, 100, -1, true);
   }
-  EXPECT_LE(b.gateway.customersHeld(), 4096u);
-  EXPECT_EQ(b.gateway.requestsHeld(), 0u);
+  EXPECT_LE(b.gateway.tenantCount(), 4096u);
+  EXPECT_EQ(b.gateway.pendingRequestCount(), 0u);
 }
 
 // An attempt that gets no answer while the server answers later ones at once
@@ -181,18 +181,18 @@
 TEST(ConcurrencyLimit, AnAttemptLostAtAServerThatAnswersCutsNothing) {
   Bench b;
   b.list({member(1)});
-  TenantId customer = 1;
+  TenantId tenant = 1;
   for (int i = 0; i < 20; ++i) {
-    const RequestId lost = b.ask(2, 0, customer++);
+    const RequestId lost = b.ask(2, 0, tenant++);
     ASSERT_TRUE(b.wasSent(lost));
     for (int j = 0; j < 10; ++j) {
       b.now += 100;
-      const RequestId quick = b.ask(0, 0, customer++);
+      const RequestId quick = b.ask(0, 0, tenant++);
       if (b.wasSent(quick)) b.end(quick, AttemptResult::ok, 10);
     }
-    b.end(lost, i % 2 ? AttemptResult::timeout : AttemptResult::spoilt, 1000);
+    b.end(lost, i % 2 ? AttemptResult::timeout : AttemptResult::malformed, 1000);
   }
-  for (int i = 0; i < 3; ++i) EXPECT_TRUE(b.wasSent(b.ask(0, 0, customer++)));
+  for (int i = 0; i < 3; ++i) EXPECT_TRUE(b.wasSent(b.ask(0, 0, tenant++)));
 }
 
 TEST(Suspension, HoldsWhateverTheListSaysAndOneResumeEndsIt) {
@@ -203,11 +203,11 @@
   const auto ask = [&] {
     const RequestId id = bench.ask(0, 0, 100 + bench.last);
     EXPECT_TRUE(bench.wasSent(id));
-    const ServerId worker = bench.lastWorker();
+    const ServerId server = bench.lastServer();
     bench.end(id, AttemptResult::connectFailed);  // a further attempt must not go there either
-    EXPECT_EQ(bench.lastWorker(), 2u);
+    EXPECT_EQ(bench.lastServer(), 2u);
     bench.end(id, AttemptResult::ok, 10);
-    return worker;
+    return server;
   };
   EXPECT_EQ(ask(), 2u);
   bench.list({member(1, 0, bench.now), member(2)});  // it has restarted
@@ -215,14 +215,14 @@
   bench.list({member(2)});
   bench.list({member(1), member(2)});
   EXPECT_EQ(ask(), 2u);
-  EXPECT_EQ(bench.gateway.pool(bench.now).avoided, 1u);
+  EXPECT_EQ(bench.gateway.poolView(bench.now).avoided, 1u);
   bench.gateway.resume(bench.now += 100, 1);
-  EXPECT_EQ(bench.gateway.pool(bench.now).avoided, 0u);
+  EXPECT_EQ(bench.gateway.poolView(bench.now).avoided, 0u);
   bool sent = false;
   for (int i = 0; i < 200 && !sent; ++i) {
     bench.now += 25;
     const RequestId id = bench.ask(0, 0, 1000 + bench.last);
-    sent = bench.wasSent(id) && bench.lastWorker() == 1;
+    sent = bench.wasSent(id) && bench.lastServer() == 1;
     if (bench.wasSent(id)) bench.end(id, AttemptResult::ok, 10);
   }
   EXPECT_TRUE(sent);
@@ -238,7 +238,7 @@
       for (const Time end = bench.now + span; bench.now < end; bench.now += 10) {
         const RequestId id = bench.ask(0, 0, 100 + bench.last);
         if (!bench.wasSent(id)) continue;
-        at += bench.lastWorker() == 1;
+        at += bench.lastServer() == 1;
         bench.end(id, AttemptResult::ok, 5);
       }
     };
@@ -262,23 +262,23 @@
     const RequestId id = old.ask(0, 0, 100 + i % 50);
     if (old.wasSent(id)) old.end(id, AttemptResult::ok, 5, 20);
   }
-  while (!old.wasRefused(old.ask(0, 0, 7))) old.end(old.last, AttemptResult::ok, 1);
+  while (!old.wasRejected(old.ask(0, 0, 7))) old.end(old.last, AttemptResult::ok, 1);
   EXPECT_TRUE(old.wasSent(old.ask(0, 1, 8)));  // its part of the cap
-  const auto known = old.gateway.knowledge(old.now);
+  const auto known = old.gateway.exportLearnedState(old.now);
 
   Bench next(settings(), old.now), blank(settings(), old.now);
   for (Bench* bench : {&next, &blank}) bench->list({member(1), member(2), member(3, 0, old.now - 5000)});
-  EXPECT_TRUE(next.gateway.adopt(next.now, known));
-  EXPECT_TRUE(next.wasRefused(next.ask(0, 0, 7)));
-  EXPECT_FALSE(blank.wasRefused(blank.ask(0, 0, 7)));
-  EXPECT_TRUE(next.wasRefused(next.ask(0, 1, 8)));  // it is out at the old one
-  unsigned sent[2] = {0, 0};                        // to the cold one, where there is no other
+  EXPECT_TRUE(next.gateway.importLearnedState(next.now, known));
+  EXPECT_TRUE(next.wasRejected(next.ask(0, 0, 7)));
+  EXPECT_FALSE(blank.wasRejected(blank.ask(0, 0, 7)));
+  EXPECT_TRUE(next.wasRejected(next.ask(0, 1, 8)));  // it is out at the old one
+  unsigned sent[2] = {0, 0};                         // to the cold one, where there is no other
   for (Bench* bench : {&next, &blank}) {
     bench->gateway.suspend(bench->now, 1);
     bench->gateway.suspend(bench->now, 2);
-    for (TenantId customer = 200; customer < 300; ++customer) {
+    for (TenantId tenant = 200; tenant < 300; ++tenant) {
       bench->now += 10;
-      const RequestId id = bench->ask(0, 0, customer);
+      const RequestId id = bench->ask(0, 0, tenant);
       if (!bench->wasSent(id)) continue;
       ++sent[bench == &blank];
       bench->end(id, AttemptResult::ok, 5);
@@ -291,36 +291,36 @@
   Bench old;
   old.list({member(1)});
   old.end(old.ask(), AttemptResult::ok);
-  const auto sound = old.gateway.knowledge(old.now);
+  const auto sound = old.gateway.exportLearnedState(old.now);
   auto shorter = sound, other = sound, endless = sound, many = sound;
   shorter.pop_back(), other[0] += 1, endless.back() = HUGE_VAL, many[8] = 1e300;
   for (const auto& bad : {shorter, other, endless, many, std::vector<double>{}}) {
     Bench next;
-    EXPECT_FALSE(next.gateway.adopt(next.now, bad));
+    EXPECT_FALSE(next.gateway.importLearnedState(next.now, bad));
   }
   std::vector<double> wild = sound;  // of the right form, with figures that no gateway has
   for (std::size_t i = 10; i < wild.size(); ++i) wild[i] = i % 2 ? -1e200 : 1e200;
   Bench next;
   next.list({member(1)});
-  next.gateway.adopt(next.now, wild);
+  next.gateway.importLearnedState(next.now, wild);
   EngineSettings alone = settings();
-  alone.gateways = 1;
+  alone.gatewayCount = 1;
   Bench foreign(alone);
-  EXPECT_FALSE(foreign.gateway.adopt(foreign.now, sound));
+  EXPECT_FALSE(foreign.gateway.importLearnedState(foreign.now, sound));
 }
 
 TEST(PoolView, CountsTheListedAndThoseAvoided) {
   Bench bench;
   bench.list({member(1), member(2), member(3)});
-  EXPECT_EQ(bench.gateway.pool(bench.now).listed, 3u);
-  EXPECT_EQ(bench.gateway.pool(bench.now).avoided, 0u);
+  EXPECT_EQ(bench.gateway.poolView(bench.now).listed, 3u);
+  EXPECT_EQ(bench.gateway.poolView(bench.now).avoided, 0u);
   std::vector<RequestId> failing;
   for (int i = 0; i < 12; ++i) failing.push_back(bench.ask(2, 0, 100 + static_cast<TenantId>(i)));
   for (const RequestId id : failing)
     if (bench.attempts(id) > 0) bench.end(id, AttemptResult::reset);
-  EXPECT_EQ(bench.gateway.pool(bench.now).avoided, 3u);
+  EXPECT_EQ(bench.gateway.poolView(bench.now).avoided, 3u);
   bench.list({member(1)}, ListUpdateKind::full);
-  EXPECT_EQ(bench.gateway.pool(bench.now).listed, 1u);
+  EXPECT_EQ(bench.gateway.poolView(bench.now).listed, 1u);
 }
 
 }  // namespace
--- a/tests/decision/quota_test.cpp
+++ b/tests/decision/quota_test.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 // Asks and, when sent, serves at once. Returns whether it was let in.
-bool served(Bench& b, unsigned plan = 0, TenantId customer = 1, int percent = -1, double units = 1,
-            unsigned setSize = 2) {
-  const RequestId id = b.ask(0, plan, customer, units, setSize);
+bool served(Bench& b, unsigned plan = 0, TenantId tenant = 1, int percent = -1, double units = 1,
+            unsigned gatewaySetSize = 2) {
+  const RequestId id = b.ask(0, plan, tenant, units, gatewaySetSize);
   if (!b.wasSent(id)) return false;
   b.end(id, AttemptResult::ok, 50, percent);
   return true;
@@ -49,7 +49,7 @@
 
 TEST(Quota, FillsTowardTheWholeRateAndBurst) {
   EngineSettings s = settings();
-  s.gateways = 1;
+  s.gatewayCount = 1;
   Bench b(s);
   b.list({member(1)});
   while (served(b, 0, 1, -1, 1, 1)) {
@@ -69,14 +69,14 @@
   b.list({member(1)});
   while (served(b)) {
   }
-  EXPECT_TRUE(b.wasRefused(b.last));
-  EXPECT_NEAR(b.recorder.refused[b.last], 100, 1);  // one unit at ten a second
+  EXPECT_TRUE(b.wasRejected(b.last));
+  EXPECT_NEAR(b.recorder.rejected[b.last], 100, 1);  // one unit at ten a second
   EXPECT_TRUE(b.recorder.timers.empty());
 }
 
 TEST(Quota, TrueUnitsCorrectTheGuess) {
   EngineSettings s = settings();
-  s.gateways = 1, s.settlesUnits = true;
+  s.gatewayCount = 1, s.hasEstimatedUnits = true;
   Bench b(s);
   b.list({member(1)});
   const RequestId id = b.ask(0, 0, 1, 8, 1);
@@ -89,7 +89,7 @@
 // A reading counts once, however many answers of its period it rides on.
 TEST(Quota, RepeatedReadingTrimsOnce) {
   EngineSettings s = settings();
-  s.gateways = 1;
+  s.gatewayCount = 1;
   const auto admitted = [&](int repeats) {
     Bench b(s);
     b.list({member(1)});
@@ -144,7 +144,7 @@
   const RequestId first = ask(), second = ask(), third = ask();
   EXPECT_TRUE(b.wasSent(first));
   EXPECT_TRUE(b.wasSent(second));
-  EXPECT_TRUE(b.wasRefused(third));
+  EXPECT_TRUE(b.wasRejected(third));
   b.end(first, AttemptResult::ok);
   EXPECT_TRUE(b.wasSent(ask()));
 }
@@ -154,9 +154,9 @@
 TEST(Quota, GatewaysTogetherHoldACapOnAttemptsInFlight) {
   for (const unsigned cap : {2u, 5u, 6u}) {
     EngineSettings s = settings();
-    s.plans[1].openLimit = cap;
+    s.plans[1].maxInFlight = cap;
     unsigned out = 0;
-    for (s.self = 0; s.self < s.gateways; ++s.self) {
+    for (s.gatewayIndex = 0; s.gatewayIndex < s.gatewayCount; ++s.gatewayIndex) {
       Bench b(s);
       b.list({member(1)});
       const RequestId told = b.ask(0, 1);
@@ -171,16 +171,16 @@
 // the cap is reached, they take turns, and each has one.
 TEST(Quota, GatewaysThatOutnumberACapTakeTurns) {
   EngineSettings s = settings();
-  s.gateways = 4;
-  std::vector<int> turns(s.gateways, 0);
+  s.gatewayCount = 4;
+  std::vector<int> turns(s.gatewayCount, 0);
   for (Time at = 0; at < 6000; at += 500) {
     int out = 0;
     for (const unsigned self : {3u, 0u, 1u}) {
-      s.self = self;
+      s.gatewayIndex = self;
       Bench b(s, 100000 + at);
       b.list({member(1)});
       const auto ask = [&] {
-        b.gateway.request(b.now, {++b.last, 0, 1, 1, b.now + 3000, 1, 3, 3});
+        b.gateway.handleRequest(b.now, {++b.last, 0, 1, 1, b.now + 3000, 1, 3, 3});
         return b.last;
       };
       const RequestId told = ask();
@@ -199,8 +199,8 @@
 class Gateways {
  public:
   explicit Gateways(EngineSettings s) {
-    for (s.self = 0; s.self < s.gateways; ++s.self) {
-      all_.emplace_back(s, 100000, s.self + 1);
+    for (s.gatewayIndex = 0; s.gatewayIndex < s.gatewayCount; ++s.gatewayIndex) {
+      all_.emplace_back(s, 100000, s.gatewayIndex + 1);
       all_.back().list(fleet());
     }
   }
@@ -227,8 +227,8 @@
 Crowd crowdAtACap(double triesPerSecond) {
   constexpr Time kServed = 200;
   EngineSettings s = settings();
-  s.gateways = 100;
-  s.plans[1].overCost = 1.2;
+  s.gatewayCount = 100;
+  s.plans[1].overQuotaCost = 1.2;
   Gateways gateways(s);
   struct Out {
     Time until;
@@ -251,7 +251,7 @@
     ++crowd.tries;
     if (!b.wasSent(id)) continue;
     ++crowd.in;
-    crowd.beyond += out.size() >= s.plans[1].openLimit;
+    crowd.beyond += out.size() >= s.plans[1].maxInFlight;
     out.push_back({now + kServed, &b, id});
     int& peak = peaks[static_cast<long>(now / 1000)];
     peak = std::max(peak, static_cast<int>(out.size()));
@@ -276,12 +276,12 @@
 // asks for eight times the rate, and fifty for a tenth of it; nobody is told any reading.
 TEST(Quota, AHundredGatewaysDoNotEachTakeASlowPlansBucketForFull) {
   EngineSettings s = settings();
-  s.gateways = 100;
+  s.gatewayCount = 100;
   s.plans[0].rate = 2, s.plans[0].burst = 10;
   Gateways gateways(s);
   int heavy = 0, light = 0, lightAsked = 0;
   for (Time now = 102000; now < 122000; now += 50) {
-    const auto ask = [&](TenantId customer) { return served(gateways.any(now), 0, customer, -1, 1, 100); };
+    const auto ask = [&](TenantId tenant) { return served(gateways.any(now), 0, tenant, -1, 1, 100); };
     heavy += ask(1);
     if (gateways.draw() % 2 == 0) light += ask(2 + gateways.draw() % 50), ++lightAsked;
   }
@@ -298,9 +298,10 @@
   while (served(b)) {
   }
   for (TenantId c = 100; c < 9000; ++c) {
-    b.gateway.request(b.now, {++b.last, 0, 0, c, b.now + 3000, 100000, 2});  // never let in: loses nothing
+    b.gateway.handleRequest(b.now,
+                            {++b.last, 0, 0, c, b.now + 3000, 100000, 2});  // never let in: loses nothing
   }
-  EXPECT_LE(b.gateway.customersHeld(), 4096u);
+  EXPECT_LE(b.gateway.tenantCount(), 4096u);
   EXPECT_FALSE(served(b));
 }
 
@@ -321,7 +322,7 @@
 // that has long been up lets the first one in.
 TEST(Quota, FirstRequestOfATenantAtAGatewayLongUpIsAdmitted) {
   EngineSettings s = settings();
-  s.gateways = 200;
+  s.gatewayCount = 200;
   s.plans[0].rate = 1, s.plans[0].burst = 4;
   Bench b(s);
   b.list(fleet());
@@ -334,7 +335,7 @@
 TEST(Quota, RareRequestsGoByTheReadings) {
   const auto admitted = [](int percent) {
     EngineSettings s = settings();
-    s.gateways = 200;
+    s.gatewayCount = 200;
     s.plans[0].rate = 1, s.plans[0].burst = 4;
     Bench b(s);
     b.list(fleet());
@@ -353,9 +354,10 @@
 // whatever it makes of the demand. Together they would else go past the quota by what they misjudge.
 TEST(Quota, WhileTheBucketIsEmptyAGatewayAdmitsItsShareOfTheRate) {
   EngineSettings s = settings();
-  s.gateways = 10;
+  s.gatewayCount = 10;
   std::list<Bench> gates;
-  for (s.self = 0; s.self < s.gateways; ++s.self) gates.emplace_back(s).list({member(1)});
+  for (s.gatewayIndex = 0; s.gatewayIndex < s.gatewayCount; ++s.gatewayIndex)
+    gates.emplace_back(s).list({member(1)});
   Meter meter(500);
   int in = 0;
   for (Time now = 50; now < 60000; now += 50) {  // twenty a second at each, two hundred in all, against ten
--- a/tests/decision/recorder.hpp
+++ b/tests/decision/recorder.hpp
@@ -11,7 +11,7 @@
 
 struct Sent {
   RequestId id;
-  ServerId worker;
+  ServerId server;
   Time timeout;
   unsigned attempt;
 };
@@ -19,18 +19,18 @@
 class Recorder : public EngineActions {
  public:
   std::vector<Sent> sends;
-  std::map<RequestId, Time> refused;
+  std::map<RequestId, Time> rejected;
   std::map<RequestId, unsigned> failed, finals, attempts;
   std::vector<std::pair<Time, std::uint64_t>> timers;
   std::vector<std::string> lines;
   unsigned subscriptions = 0;
 
-  void send(RequestId id, ServerId worker, Time timeout) override {
+  void send(RequestId id, ServerId server, Time timeout) override {
     EXPECT_EQ(finals[id], 0u) << "an attempt after the final answer of " << id;
-    sends.push_back({id, worker, timeout, attempts[id]++});
+    sends.push_back({id, server, timeout, attempts[id]++});
   }
-  void refuse(RequestId id, Time retryAfter) override {
-    refused[id] = retryAfter;
+  void reject(RequestId id, Time retryAfter) override {
+    rejected[id] = retryAfter;
     EXPECT_GT(retryAfter, 0);
     EXPECT_EQ(++finals[id], 1u);
   }
@@ -45,35 +45,36 @@
 
 inline EngineSettings settings() {
   EngineSettings s;
-  s.gateways = 2;
+  s.gatewayCount = 2;
   s.maxAttempts = 4;
   s.maxRetryAfter = 2000;
   s.meterPeriod = 1000;
-  s.coldFrom = 0.2;
-  s.warmUp = 10000;
-  s.fallMultiple = 2;
-  s.fallSpan = 1000;
-  s.drainGrace = 1000;
+  s.initialCapacityShare = 0.2;
+  s.warmUpTime = 10000;
+  s.overloadFactor = 2;
+  s.overloadDuration = 1000;
+  s.drainGracePeriod = 1000;
   ClassSettings safe;
-  safe.aim = 1000, safe.deadline = 3000, safe.repeat = Idempotency::safe;
+  safe.latencyTarget = 1000, safe.deadline = 3000, safe.idempotency = Idempotency::safe;
   ClassSettings keyed = safe;
-  keyed.repeat = Idempotency::keyed, keyed.scope = DeduplicationScope::zone, keyed.window = 2000;
+  keyed.idempotency = Idempotency::keyed, keyed.deduplicationScope = DeduplicationScope::zone,
+  keyed.deduplicationWindow = 2000;
   ClassSettings unsafe = safe;
-  unsafe.repeat = Idempotency::unsafe;
+  unsafe.idempotency = Idempotency::unsafe;
   s.classes = {safe, keyed, unsafe};
   PlanSettings rate;
-  rate.rate = 10, rate.burst = 20, rate.overCost = 1;
+  rate.rate = 10, rate.burst = 20, rate.overQuotaCost = 1;
   PlanSettings open;
-  open.openLimit = 2;
+  open.maxInFlight = 2;
   PlanSettings ceiling = rate;
-  ceiling.ceilingRate = 20, ceiling.ceilingBurst = 40;
+  ceiling.hardLimitRate = 20, ceiling.hardLimitBurst = 40;
   s.plans = {rate, open, ceiling};
   return s;
 }
 
 inline ListedServer member(ServerId id, unsigned zone = 0, Time started = 0) {
   ListedServer m;
-  m.worker = id, m.zone = zone, m.started = started;
+  m.id = id, m.zone = zone, m.startedAt = started;
   return m;
 }
 
@@ -83,32 +84,32 @@
       : now(start), gateway(s, salt, start, recorder) {}
 
   void list(const std::vector<ListedServer>& members, ListUpdateKind kind = ListUpdateKind::full) {
-    gateway.members(now, kind, members);
+    gateway.updateServers(now, kind, members);
   }
-  RequestId ask(unsigned klass = 0, unsigned plan = 0, TenantId customer = 1, double units = 1,
-                unsigned setSize = 2, Time patience = 3000) {
-    gateway.request(now, {++last, klass, plan, customer, now + patience, units, setSize});
+  RequestId ask(unsigned classIndex = 0, unsigned plan = 0, TenantId tenant = 1, double units = 1,
+                unsigned gatewaySetSize = 2, Time patience = 3000) {
+    gateway.handleRequest(now, {++last, classIndex, plan, tenant, now + patience, units, gatewaySetSize});
     return last;
   }
   // Ends the newest attempt of a request.
   void end(RequestId id, AttemptResult result, Time elapsed = 100, int percent = -1, bool finished = false,
-           double trueUnits = 0) {
+           double actualUnits = 0) {
     for (auto it = recorder.sends.rbegin(); it != recorder.sends.rend(); ++it) {
       if (it->id != id) continue;
       AttemptOutcome out;
-      out.id = id, out.result = result, out.attempt = it->attempt, out.worker = it->worker;
-      out.elapsed = elapsed, out.usePercent = percent, out.trueUnits = trueUnits;
-      out.finished = finished || result == AttemptResult::ok;
-      gateway.outcome(now, out);
+      out.id = id, out.result = result, out.attemptIndex = it->attempt, out.server = it->server;
+      out.elapsed = elapsed, out.quotaUsePercent = percent, out.actualUnits = actualUnits;
+      out.isRequestFinished = finished || result == AttemptResult::ok;
+      gateway.handleOutcome(now, out);
       return;
     }
     FAIL() << "no attempt of " << id;
   }
   bool wasSent(RequestId id) const { return recorder.attempts.contains(id); }
   unsigned attempts(RequestId id) const { return wasSent(id) ? recorder.attempts.at(id) : 0; }
-  bool wasRefused(RequestId id) const { return recorder.refused.contains(id); }
+  bool wasRejected(RequestId id) const { return recorder.rejected.contains(id); }
   bool hasFailed(RequestId id) const { return recorder.failed.contains(id); }
-  ServerId lastWorker() const { return recorder.sends.back().worker; }
+  ServerId lastServer() const { return recorder.sends.back().server; }
 
   Time now;
   RequestId last = 0;
--- a/tests/gatekeeper/bad_workers_test.cpp
+++ b/tests/gatekeeper/bad_workers_test.cpp
@@ -28,7 +28,7 @@
   EXPECT_EQ(pool->connections(), 1u);
   std::string many;
   for (int i = 0; i < 100; ++i) many += interim;
-  EXPECT_EQ(answeredWith(many).outcome.result, AttemptResult::spoilt);
+  EXPECT_EQ(answeredWith(many).outcome.result, AttemptResult::malformed);
   EXPECT_EQ(pool->connections(), 0u);
 }
 
@@ -40,17 +40,17 @@
                            "util=0.5,queue=1,util=0.7", "util=0.5", "util=0.5;queue=1", "util=,queue=1"}) {
     const auto end = answeredWith(reply("200 OK", "mine", "Srv-Load: " + std::string(load) + "\r\n"));
     EXPECT_EQ(end.outcome.result, AttemptResult::ok) << load;
-    EXPECT_TRUE(end.outcome.report.empty()) << load;
+    EXPECT_TRUE(end.outcome.loadReport.empty()) << load;
   }
   const std::string fine = "Srv-Load: util=0.5,queue=1\r\n";
-  EXPECT_TRUE(answeredWith(reply("200 OK", "", fine + fine)).outcome.report.empty());
+  EXPECT_TRUE(answeredWith(reply("200 OK", "", fine + fine)).outcome.loadReport.empty());
   for (const char* used : {"-5", "1e3", "99999999999", "999999999", "85%", "nan"}) {
     const auto end = answeredWith(reply("200 OK", "", "X-RateLimit-Used: " + std::string(used) + "\r\n"));
-    EXPECT_EQ(end.outcome.usePercent, -1) << used;
+    EXPECT_EQ(end.outcome.quotaUsePercent, -1) << used;
   }
-  EXPECT_EQ(
-      answeredWith(reply("200 OK", "", "X-RateLimit-Used: 5\r\nX-RateLimit-Used: 6\r\n")).outcome.usePercent,
-      -1);
+  EXPECT_EQ(answeredWith(reply("200 OK", "", "X-RateLimit-Used: 5\r\nX-RateLimit-Used: 6\r\n"))
+                .outcome.quotaUsePercent,
+            -1);
 }
 
 // A spoilt answer has run: never served, and its connection of no further use.
@@ -74,7 +74,7 @@
            std::string("HTTP/1.1 101 Switching Protocols\r\nUpgrade: other\r\n\r\n"),
        }) {
     const auto end = answeredWith(text);
-    EXPECT_EQ(end.outcome.result, AttemptResult::spoilt) << text.substr(0, 100);
+    EXPECT_EQ(end.outcome.result, AttemptResult::malformed) << text.substr(0, 100);
     EXPECT_EQ(end.body, "");
     EXPECT_EQ(pool->connections(), 0u) << text.substr(0, 100);
     EXPECT_EQ(budget.held(), 0u);
@@ -89,7 +89,7 @@
   EXPECT_EQ(budget.held(), 0u);
   MemoryBudget::Share others(budget);
   ASSERT_TRUE(others.growTo((1 << 20) - 30000));
-  EXPECT_EQ(answeredWith(reply("200 OK", held)).outcome.result, AttemptResult::spoilt);
+  EXPECT_EQ(answeredWith(reply("200 OK", held)).outcome.result, AttemptResult::malformed);
   EXPECT_EQ(pool->connections(), 0u);
 }
 
@@ -100,7 +100,7 @@
   open(limits);
   for (const char* text :
        {"HTTP/1.1 200 OK\r\nContent-Le", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"}) {
-    EXPECT_EQ(answeredWith(text).outcome.result, AttemptResult::spoilt);
+    EXPECT_EQ(answeredWith(text).outcome.result, AttemptResult::malformed);
     EXPECT_EQ(pool->connections(), 0u);
   }
 }
--- a/tests/gatekeeper/config_test.cpp
+++ b/tests/gatekeeper/config_test.cpp
@@ -18,9 +18,9 @@
   EXPECT_EQ(config.sockets, 256u);
   EXPECT_EQ(config.host.classes, (std::vector<std::string>{"look", "edit", "order"}));
   EXPECT_EQ(config.host.zones, (std::vector<std::string>{"a", "b"}));
-  EXPECT_EQ(config.settings.classes[1].repeat, Idempotency::keyed);
+  EXPECT_EQ(config.settings.classes[1].idempotency, Idempotency::keyed);
   EXPECT_EQ(config.settings.plans[1].rate, 1000);
-  EXPECT_EQ(config.settings.reportFields, (std::vector<std::string>{"util", "queue"}));
+  EXPECT_EQ(config.settings.loadReportFields, (std::vector<std::string>{"util", "queue"}));
   EXPECT_EQ(parseServerListUpdate(config.known).instances.at(0).id, "s");
 }
 
--- a/tests/gateway/upstream_response_reader_test.cpp
+++ b/tests/gateway/upstream_response_reader_test.cpp
@@ -19,8 +19,8 @@
     return answers.read(head, outcome);
   };
   EXPECT_EQ(read(200, {{"X-Server-Seal", "s"}}), AttemptResult::ok);
-  EXPECT_EQ(read(200, {}), AttemptResult::spoilt);
-  EXPECT_EQ(read(200, {{"X-Server-Seal", "s"}, {"Content-Encoding", "gzip"}}), AttemptResult::spoilt);
+  EXPECT_EQ(read(200, {}), AttemptResult::malformed);
+  EXPECT_EQ(read(200, {{"X-Server-Seal", "s"}, {"Content-Encoding", "gzip"}}), AttemptResult::malformed);
   EXPECT_EQ(read(503, {}), AttemptResult::error);
   EXPECT_EQ(read(503, {{"X-Not-Executed", "1"}}), AttemptResult::full);
   EXPECT_EQ(read(421, {}), AttemptResult::full);
--- a/tests/gateway/upstream_responses_test.cpp
+++ b/tests/gateway/upstream_responses_test.cpp
@@ -86,7 +86,7 @@
     ask(1, "a");
     worker.peers.back()->send(text);
     untilEnds(1);
-    EXPECT_EQ(ends[0].outcome.result, AttemptResult::spoilt);
+    EXPECT_EQ(ends[0].outcome.result, AttemptResult::malformed);
     EXPECT_EQ(byId->connections(), 0u);
   }
 }
@@ -98,7 +98,7 @@
   for (int i = 0; i < 20; ++i) many += seal("a", "once more");
   worker.peers.back()->send(many);
   untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, AttemptResult::spoilt);
+  EXPECT_EQ(ends[0].outcome.result, AttemptResult::malformed);
 }
 
 // What turned a request away may do so twice. Sent once more, the request carries the same id, so it goes
--- a/tests/package/one_request.cpp
+++ b/tests/package/one_request.cpp
@@ -6,11 +6,11 @@
 
 struct Printer : lilacmux::EngineActions {
   lilacmux::ServerId sentTo = 0;
-  void send(lilacmux::RequestId id, lilacmux::ServerId worker, lilacmux::Time) override {
-    std::printf("request %u goes to worker %llu\n", id, static_cast<unsigned long long>(worker));
-    sentTo = worker;
+  void send(lilacmux::RequestId id, lilacmux::ServerId server, lilacmux::Time) override {
+    std::printf("request %u goes to server %llu\n", id, static_cast<unsigned long long>(server));
+    sentTo = server;
   }
-  void refuse(lilacmux::RequestId, lilacmux::Time) override {}
+  void reject(lilacmux::RequestId, lilacmux::Time) override {}
   void fail(lilacmux::RequestId) override {}
   void setTimer(lilacmux::Time, std::uint64_t) override {}
   void subscribe() override {}
@@ -21,20 +21,21 @@
 
 int main() {
   lilacmux::EngineSettings settings;
-  lilacmux::ClassSettings klass;
-  klass.aim = 500, klass.deadline = 2000, klass.repeat = lilacmux::Idempotency::safe;
+  lilacmux::ClassSettings requestClass;
+  requestClass.latencyTarget = 500, requestClass.deadline = 2000,
+  requestClass.idempotency = lilacmux::Idempotency::safe;
   lilacmux::PlanSettings plan;
   plan.rate = 5, plan.burst = 10;
-  settings.classes = {klass};
+  settings.classes = {requestClass};
   settings.plans = {plan};
   Printer actions;
   lilacmux::DecisionEngine gateway(settings, 1, 0, actions);
-  lilacmux::ListedServer worker;
-  worker.worker = 42;
-  gateway.members(0, lilacmux::ListUpdateKind::full, {worker});
-  gateway.request(1, {7, 0, 0, 99, 2001, 1, 1});
+  lilacmux::ListedServer server;
+  server.id = 42;
+  gateway.updateServers(0, lilacmux::ListUpdateKind::full, {server});
+  gateway.handleRequest(1, {7, 0, 0, 99, 2001, 1, 1});
   lilacmux::AttemptOutcome outcome;
-  outcome.id = 7, outcome.worker = 42, outcome.elapsed = 20, outcome.finished = true;
-  gateway.outcome(21, outcome);
-  return actions.sentTo == 42 && gateway.requestsHeld() == 0 ? 0 : 1;
+  outcome.id = 7, outcome.server = 42, outcome.elapsed = 20, outcome.isRequestFinished = true;
+  gateway.handleOutcome(21, outcome);
+  return actions.sentTo == 42 && gateway.pendingRequestCount() == 0 ? 0 : 1;
 }
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -68,14 +68,14 @@
   ASSERT_EQ(seen.requests.size(), 1u);
   EXPECT_EQ(seen.at, 3u);
   EXPECT_EQ(seen.requests[0].units, 2);
-  EXPECT_EQ(seen.requests[0].setSize, 3u);
-  EXPECT_EQ(seen.requests[0].first, 1u);
+  EXPECT_EQ(seen.requests[0].gatewaySetSize, 3u);
+  EXPECT_EQ(seen.requests[0].firstGateway, 1u);
   read(seen, 1, unhex("32 c4913a5d 00 0000 0300 0a124a07 2b23 5600 0000000000803240 01 02 52b81e3f00004040"));
   ASSERT_EQ(seen.outcomes.size(), 1u);
-  EXPECT_EQ(seen.outcomes[0].usePercent, 0x55);
-  EXPECT_EQ(seen.outcomes[0].trueUnits, 3);
-  EXPECT_TRUE(seen.outcomes[0].finished);
-  EXPECT_EQ(seen.outcomes[0].report.size(), 2u);
+  EXPECT_EQ(seen.outcomes[0].quotaUsePercent, 0x55);
+  EXPECT_EQ(seen.outcomes[0].actualUnits, 3);
+  EXPECT_TRUE(seen.outcomes[0].isRequestFinished);
+  EXPECT_EQ(seen.outcomes[0].loadReport.size(), 2u);
   read(seen, 1,
        unhex("14 02 29000000 02000000 01 0a124a07 2b23 0000803f 00 00 0000000000000000 0000"
              " 01 0a9011f2 5423 0000c03f 01 00 0000000000d4b740 0000"));
@@ -113,12 +113,12 @@
       "me=1\nnInstances=3\nunknown.key=what ever\nreport.fields=util,queue\nprofiles.count=1\n"
       "profiles.0.aim=800.0\nprofiles.0.repeat=keyed\nprofiles.0.dedupScope=zone\nplans.count=1\n"
       "plans.0.unitsPerS=2.5\nplans.0.atOnce=4\ndiscovery=on_request\n");
-  EXPECT_EQ(s.self, 1u);
-  EXPECT_EQ(s.gateways, 3u);
-  EXPECT_EQ(s.reportFields.size(), 2u);
-  EXPECT_EQ(s.classes.at(0).scope, DeduplicationScope::zone);
-  EXPECT_EQ(s.plans.at(0).openLimit, 4u);
-  EXPECT_TRUE(s.askDiscovery);
+  EXPECT_EQ(s.gatewayIndex, 1u);
+  EXPECT_EQ(s.gatewayCount, 3u);
+  EXPECT_EQ(s.loadReportFields.size(), 2u);
+  EXPECT_EQ(s.classes.at(0).deduplicationScope, DeduplicationScope::zone);
+  EXPECT_EQ(s.plans.at(0).maxInFlight, 4u);
+  EXPECT_TRUE(s.requiresSubscription);
 }
 
 TEST(SettingsText, MalformedLinesThrow) {
--- a/tests/upstream/attempts_test.cpp
+++ b/tests/upstream/attempts_test.cpp
@@ -13,8 +13,8 @@
       reply("200 OK", "body", "Srv-Load: inflight=7,queue=2,util=0.61\r\nX-RateLimit-Used: 85\r\n"));
   untilEnds(1);
   EXPECT_EQ(ends[0].outcome.result, AttemptResult::ok);
-  EXPECT_EQ(ends[0].outcome.report, (std::vector<double>{0.61, 2}));
-  EXPECT_EQ(ends[0].outcome.usePercent, 85);
+  EXPECT_EQ(ends[0].outcome.loadReport, (std::vector<double>{0.61, 2}));
+  EXPECT_EQ(ends[0].outcome.quotaUsePercent, 85);
   EXPECT_EQ(ends[0].body, "body");
 }
 
@@ -26,8 +26,8 @@
     untilSeen(worker.count("\r\n\r\n") + 1);
     worker.peers[0]->send(reply("200 OK", "", load));
     untilEnds(1);
-    EXPECT_TRUE(ends[0].outcome.report.empty()) << load;
-    EXPECT_EQ(ends[0].outcome.usePercent, -1);
+    EXPECT_TRUE(ends[0].outcome.loadReport.empty()) << load;
+    EXPECT_EQ(ends[0].outcome.quotaUsePercent, -1);
   }
 }
 
@@ -93,7 +93,7 @@
   start(2);
   untilEnds(1);
   EXPECT_EQ(ends[0].outcome.id, 2u);
-  EXPECT_EQ(ends[0].outcome.result, AttemptResult::moot);  // no fault of the worker's
+  EXPECT_EQ(ends[0].outcome.result, AttemptResult::abandoned);  // no fault of the worker's
   Listener second(io);
   pool->place(2, {second.address(), 0});
   untilSeen(1);
--- a/tests/upstream/connection_pool_test.cpp
+++ b/tests/upstream/connection_pool_test.cpp
@@ -78,7 +78,7 @@
   start([&] { return may; });
   may = false;
   untilBothEnds();
-  EXPECT_EQ(end->outcome.result, AttemptResult::moot);
+  EXPECT_EQ(end->outcome.result, AttemptResult::abandoned);
   EXPECT_EQ(*received, 0u);
 }
 
