--- a/include/lilacmux/decision_engine.hpp
+++ b/include/lilacmux/decision_engine.hpp
@@ -70,7 +70,7 @@
   Time meterPeriod = 0;             // ms covered by one metered reading; 0: responses carry no readings
   bool hasEstimatedUnits = false;   // a request's units are an estimate that its response corrects
   double maxUnits = 1;              // units of the largest request
-  Time drainGracePeriod = 0;        // ms within which no more attempts are sent to a draining server
+  Time drainGracePeriod = 0;        // ms after which no more attempts may be sent to a draining server
   double initialCapacityShare = 1;  // share of its capacity that a server has right after its start
   Time warmUpTime = 0;              // ms from a server's start until it has its full capacity
   double overloadFactor = 1;        // load, as a multiple of its capacity, at which a server fails
@@ -85,7 +85,7 @@
   unsigned zone = 0;
   unsigned kind = 0;   // machine type; servers of the same kind are expected to be equally fast
   unsigned cell = 0;   // deduplication group (DeduplicationScope::cell)
-  Time startedAt = 0;  // on the host's clock; 0: unknown, the server counts as warm
+  Time startedAt = 0;  // on the host's clock; 0: long ago, the server is warm
 };
 
 // failed: the list could not be read. delta: the list holds only the servers that changed. cached and full:
@@ -96,11 +96,11 @@
 // expiry are not finite.
 struct EngineRequest {
   RequestId id = 0;
-  unsigned classIndex = 0;  // into EngineSettings::classes
+  unsigned classIndex = 0;  // index into EngineSettings::classes
   unsigned plan = 0;        // index into EngineSettings::plans
   TenantId tenant = 0;
   Time expiresAt = 0;           // point in time at which the client gives up
-  double units = 1;             // quota that the request uses; finite, negative values count as 0
+  double units = 1;             // quota that the request uses; finite; values below 0 count as 0
   unsigned gatewaySetSize = 1;  // number of consecutive gateways that receive this tenant's requests
   unsigned firstGateway = 0;    // index of the first of these gateways
 };
@@ -114,7 +114,7 @@
   ServerId server = 0;             // the server that the attempt was sent to
   int quotaUsePercent = -1;        // metered use of the tenant's quota over one period; below 0: not reported
   Time elapsed = 0;                // ms since the attempt was sent
-  bool isRequestFinished = false;  // the request needs no further attempt and no final answer
+  bool isRequestFinished = false;  // the request needs no more attempts and no final answer
   std::vector<double> loadReport;  // the server's load, by EngineSettings::loadReportFields
 };
 
@@ -164,7 +164,7 @@
   // The client has disconnected or given up. The engine drops the request without a final answer.
   void handleClientDisconnect(Time now, RequestId id);
   // Excludes a server, listed or not, until an operator resumes it; a resumed server warms up like one that
-  // has just started. Repeated calls have no further effect.
+  // has just started. Repeated calls have no effect.
   void suspend(Time now, ServerId server);
   void resume(Time now, ServerId server);
   // A timer set by EngineActions::setTimer has expired.
--- a/src/decision/concurrency_cap.cpp
+++ b/src/decision/concurrency_cap.cpp
@@ -9,24 +9,25 @@
 namespace lilacmux::decision {
 namespace {
 
-// Ms until what is left of a cap goes to the next gateway; shorter: turns overlap.
-constexpr Time kTurnSpan = 1000;
-// Times in a period that the load told by a peak would reach that peak.
-constexpr double kPeakLikelihood = 0.35;
-// Attempts in flight between loads that are looked at.
-constexpr double kLoadStep = 0.01;
-// Requests that an assumed load counts for; higher: a heavy one is seen late.
-constexpr double kLoadDoubt = 0.25;
-// Load of a tenant that nothing is known of, as a multiple of the load that pays.
-constexpr double kInitialLoad = 2;
-// Requests up to which it is told apart how well a load is known.
-constexpr double kMaxSamples = 32;
-// Requests that tell as much as a metered peak.
-constexpr double kPeakSamples = 3;
+// Ms for which a gateway may use one of the attempts that remain after even division of a cap, before the
+// next gateway's turn. With a shorter duration, attempts of successive turns overlap.
+constexpr Time kTurnDuration = 1000;
+// Expected number of times per metered period that the load estimated from a peak reaches that peak.
+constexpr double kPeaksPerPeriod = 0.35;
+// Resolution of the search for a load, in attempts in flight.
+constexpr double kLoadResolution = 0.01;
+// Weight of the assumed load, in requests. Higher values detect a heavy tenant late.
+constexpr double kAssumedLoadWeight = 0.25;
+// Assumed load of an unknown tenant, as a multiple of its plan's optimal load.
+constexpr double kAssumedLoadFactor = 2;
+// The largest sample count, in requests, that has an optimal load of its own.
+constexpr double kMaxSampleCount = 32;
+// Requests that one metered peak counts for as a sample.
+constexpr double kPeakSampleCount = 3;
 
-// Attempts that this process and the one before it have in flight.
-unsigned attemptsOut(const Tenant& tenant) {
-  return tenant.inFlight + (tenant.updatedAt < tenant.inFlightBeforeUntil ? tenant.inFlightBefore : 0);
+// Returns the attempts in flight of this process and of the previous one.
+unsigned attemptsInFlight(const Tenant& tenant) {
+  return tenant.inFlight + (tenant.updatedAt < tenant.previousInFlightUntil ? tenant.previousInFlight : 0);
 }
 
 }  // namespace
@@ -35,90 +36,99 @@
                                const LatencyModel& latency, Random& random)
     : settings_(settings), meter_(meter), latency_(latency), random_(random) {
   for (const auto& plan : settings_.plans) {
-    payingLoad_.emplace_back();
-    for (double tries = 1; plan.maxInFlight > 0 && tries <= kMaxSamples; ++tries)
-      payingLoad_.back().push_back(payingLoad(plan, tries));
+    optimalLoad_.emplace_back();
+    for (double sampleCount = 1; plan.maxInFlight > 0 && sampleCount <= kMaxSampleCount; ++sampleCount)
+      optimalLoad_.back().push_back(optimalLoad(plan, sampleCount));
   }
 }
 
-// What all gateways together may have in flight of a tenant, on average, so that one more earns most: each
-// that finds the cap free pays its worth, each beyond costs. What is out varies as chance has it, and what
-// the tenant asks for is known as well as so many tries tell it: the less they are, the less may be let in.
-double ConcurrencyCap::payingLoad(const PlanSettings& plan, double tries) {
+// Returns the average number of attempts in flight over all gateways that earns most: an attempt within the
+// cap earns its weight, an attempt beyond it costs. The number in flight varies at random, and a tenant's
+// demand is known only as precisely as `sampleCount` requests allow, so fewer samples give a lower load.
+double ConcurrencyCap::optimalLoad(const PlanSettings& plan, double sampleCount) {
   const double cost = std::max(0.0, plan.overQuotaCost - plan.overQuotaWeight);
   const auto gain = [&](double load) {
-    const double odds = load / tries, chance = odds / (1 + odds);
-    double term = std::pow(1 - chance, tries + 1), under = 0;
-    for (unsigned out = 0; out < plan.maxInFlight; ++out) {
-      under += term;
-      term *= chance * (tries + 1 + out) / (out + 1);
+    const double odds = load / sampleCount, chance = odds / (1 + odds);
+    double probability = std::pow(1 - chance, sampleCount + 1), withinCap = 0;
+    for (unsigned inFlight = 0; inFlight < plan.maxInFlight; ++inFlight) {
+      withinCap += probability;
+      probability *= chance * (sampleCount + 1 + inFlight) / (inFlight + 1);
     }
-    return load * ((1 + cost) * under - cost);
+    return load * ((1 + cost) * withinCap - cost);
   };
   double load = 0;
-  while (load < plan.maxInFlight && gain(load + kLoadStep) > gain(load)) load += kLoadStep;
+  while (load < plan.maxInFlight && gain(load + kLoadResolution) > gain(load)) load += kLoadResolution;
   return load;
 }
 
-double ConcurrencyCap::payingLoad(unsigned plan, double tries) const {
-  return payingLoad_[plan][static_cast<std::size_t>(std::clamp(std::round(tries), 1.0, kMaxSamples)) - 1];
+double ConcurrencyCap::optimalLoad(unsigned plan, double sampleCount) const {
+  return optimalLoad_[plan]
+                     [static_cast<std::size_t>(std::clamp(std::round(sampleCount), 1.0, kMaxSampleCount)) -
+                      1];
 }
 
-// The share of a tenant's tries that may be let in under its cap. Where many gateways serve it each meets
-// it seldom and knows of no attempt but its own, so what holds the cap is how much all let in: the paying
-// load over what it asks for, which its tries here tell, times the size of its set. One that nothing is
-// known of is held to ask for more than what pays, since most tries come from those that do. Hurts the
-// tries of a light tenant, which then come a second time.
-double ConcurrencyCap::chanceOf(const Tenant& tenant, Time each) const {
-  const double tries = tenant.requestedLoad / each + kLoadDoubt;
-  const double usualLoad = kInitialLoad * payingLoad(tenant.plan, kMaxSamples);
-  const double load = tries / (tenant.requestedSpan / each / tenant.gatewaySetSize + kLoadDoubt / usualLoad);
-  return std::min(1.0, payingLoad(tenant.plan, tries) / load);
+// Returns the probability of admitting a request of a tenant with a cap. Where many gateways serve the
+// tenant, each receives its requests rarely and knows only its own attempts, so the cap is enforced by the
+// load that all gateways admit together: the optimal load divided by the tenant's demand, which is estimated
+// from the requests received here times the number of gateways in its set. An unknown tenant is assumed to
+// demand more than the optimal load, because most requests come from such tenants. The first requests of a
+// light tenant may therefore be rejected and have to be sent again.
+double ConcurrencyCap::admitProbability(const Tenant& tenant, Time attemptTime) const {
+  const double sampleCount = tenant.requestedLoad / attemptTime + kAssumedLoadWeight;
+  const double assumedLoad = kAssumedLoadFactor * optimalLoad(tenant.plan, kMaxSampleCount);
+  const double load = sampleCount / (tenant.requestedTime / attemptTime / tenant.gatewaySetSize +
+                                     kAssumedLoadWeight / assumedLoad);
+  return std::min(1.0, optimalLoad(tenant.plan, sampleCount) / load);
 }
 
-// A metered peak tells what all gateways had out on average, by how many chance makes meet in one period;
-// over the share of tries that were let in it is what the tenant asked them all for.
+// A metered peak gives the average number of attempts in flight at all gateways: the load at which the number
+// in flight reaches the peak kPeaksPerPeriod times in a period. Divided by the admitted share of requests, it
+// gives the tenant's demand.
 void ConcurrencyCap::notePeak(Tenant& tenant, long end, double peak) const {
-  const Time each = tenant.attemptTime;
-  if (peak < 0.5 || each <= 0) return;
-  double load = kLoadStep;
-  const auto meets = [&] {
-    return std::exp((peak + 1) * std::log(load) - load - std::lgamma(peak + 1)) * meter_.period() / each;
+  const Time attemptTime = tenant.averageAttemptTime;
+  if (peak < 0.5 || attemptTime <= 0) return;
+  double load = kLoadResolution;
+  const auto peaksPerPeriod = [&] {
+    return std::exp((peak + 1) * std::log(load) - load - std::lgamma(peak + 1)) * meter_.period() /
+           attemptTime;
   };
-  while (load < peak && meets() < kPeakLikelihood) load += kLoadStep;
-  const double in = overPeriod(tenant.admitSlots, end) / kPeriodSlots;
+  while (load < peak && peaksPerPeriod() < kPeaksPerPeriod) load += kLoadResolution;
+  const double admitted = sumOverPeriod(tenant.admitFractionSlots, end) / kPeriodSlots;
   tenant.admitFraction =
-      std::clamp(in * payingLoad(tenant.plan, kPeakSamples) / load, kMinAdmitFraction, 1.0);
+      std::clamp(admitted * optimalLoad(tenant.plan, kPeakSampleCount) / load, kMinAdmitFraction, 1.0);
 }
 
-// Whether one more attempt of a tenant may be in flight under its cap. Of what the others have in flight
-// nothing tells in time: a metered peak is seconds old and a cap of a few is used up within ms, and one sent
-// on beyond costs more than one refused, which comes back at once. So each gateway keeps to its even part of
-// the cap. What those leave is anybody's while the meter tells of a cap that is not reached; else it goes
-// round by the clock, which all gateways read alike. Where so many serve the tenant that most would wait
-// for their turn in vain, chance decides instead.
+// Whether the cap admits one more attempt of the tenant. No information about the other gateways' attempts is
+// recent enough: a metered peak is seconds old, while a cap of a few attempts is used up within milliseconds.
+// An attempt beyond the cap costs more than a rejection, after which the client retries at once. Each gateway
+// therefore keeps to its even share of the cap. The remainder of the division is free to all gateways while
+// the meter reports less than the full cap; otherwise the gateways take turns by the clock, which all of them
+// read alike. Where so many gateways serve the tenant that most would wait for their turn in vain, requests
+// are admitted at random instead.
 bool ConcurrencyCap::hasRoom(Tenant& tenant, const EngineRequest& request) {
   const PlanSettings& plan = settings_.plans[tenant.plan];
-  const unsigned even = plan.maxInFlight / tenant.gatewaySetSize,
-                 rest = plan.maxInFlight % tenant.gatewaySetSize, out = attemptsOut(tenant);
-  if (rest > 0 && 2 * rest < tenant.gatewaySetSize)
-    return admitByChance(tenant, latency_.usual(request.classIndex, request.units)) && out <= even;
-  if (out != even || rest == 0) return out < even;
-  const bool reached = tenant.reading >= 100 && tenant.updatedAt - tenant.readingAt <= kRecoverySpan;
-  if (!reached) return true;
-  const unsigned place =
+  const unsigned evenShare = plan.maxInFlight / tenant.gatewaySetSize,
+                 remainder = plan.maxInFlight % tenant.gatewaySetSize, inFlight = attemptsInFlight(tenant);
+  if (remainder > 0 && 2 * remainder < tenant.gatewaySetSize)
+    return admitAtRandom(tenant, latency_.baseline(request.classIndex, request.units)) &&
+           inFlight <= evenShare;
+  if (inFlight != evenShare || remainder == 0) return inFlight < evenShare;
+  const bool isCapReached = tenant.reading >= 100 && tenant.updatedAt - tenant.readingAt <= kRecoveryTime;
+  if (!isCapReached) return true;
+  const unsigned position =
       (settings_.gatewayIndex + settings_.gatewayCount - request.firstGateway % settings_.gatewayCount) %
       settings_.gatewayCount;
-  const auto turn = static_cast<std::uint64_t>(std::max(0.0, tenant.updatedAt) / kTurnSpan);
-  return (place + turn) % tenant.gatewaySetSize < rest;
+  const auto turn = static_cast<std::uint64_t>(std::max(0.0, tenant.updatedAt) / kTurnDuration);
+  return (position + turn) % tenant.gatewaySetSize < remainder;
 }
 
-bool ConcurrencyCap::admitByChance(Tenant& tenant, Time each) {
-  tenant.requestedLoad += each;
-  tenant.attemptTime = decayToward(tenant.attemptTime, each, 1, kSizeTau);
-  const auto chance = static_cast<float>(std::min(chanceOf(tenant, each), tenant.admitFraction));
-  if (tenant.updatedAt <= tenant.createdAt) tenant.admitSlots.fill(chance);
-  tenant.admitSlots[slotIndex(tenant.slot)] = chance;
+bool ConcurrencyCap::admitAtRandom(Tenant& tenant, Time attemptTime) {
+  tenant.requestedLoad += attemptTime;
+  tenant.averageAttemptTime = decayToward(tenant.averageAttemptTime, attemptTime, 1, kRequestAverageTau);
+  const auto chance =
+      static_cast<float>(std::min(admitProbability(tenant, attemptTime), tenant.admitFraction));
+  if (tenant.updatedAt <= tenant.createdAt) tenant.admitFractionSlots.fill(chance);
+  tenant.admitFractionSlots[slotIndex(tenant.slot)] = chance;
   return random_.next() < chance;
 }
 
--- a/src/decision/concurrency_cap.hpp
+++ b/src/decision/concurrency_cap.hpp
@@ -1,4 +1,4 @@
-// Plans that limit how many attempts of a tenant are in flight at once over all gateways.
+// Concurrency caps: limits on a tenant's attempts in flight over all gateways.
 #pragma once
 
 #include <vector>
@@ -11,29 +11,32 @@
 
 namespace lilacmux::decision {
 
-// Decides at this gateway whether one more attempt of a tenant fits under its plan's openLimit.
+// Decides at this gateway whether a tenant's plan allows one more attempt in flight
+// (PlanSettings::maxInFlight).
 class ConcurrencyCap {
  public:
-  // All must outlive the cap.
+  // All arguments must outlive the cap.
   ConcurrencyCap(const EngineSettings& settings, const Meter& meter, const LatencyModel& latency,
                  Random& random);
 
-  // May draw a random number.
+  // Whether the cap admits one more attempt of the tenant. May draw a random number.
   bool hasRoom(Tenant& tenant, const EngineRequest& request);
-  // A metered peak: so many attempts of all gateways at once, in the period that ends before slot `end`.
+  // Adjusts the tenant's admit fraction by a metered peak: the most attempts that all gateways had in flight
+  // at once in the metered period that ends before slot `end`.
   void notePeak(Tenant& tenant, long end, double peak) const;
 
  private:
-  static double payingLoad(const PlanSettings& plan, double tries);
-  double payingLoad(unsigned plan, double tries) const;
-  double chanceOf(const Tenant& tenant, Time each) const;
-  bool admitByChance(Tenant& tenant, Time each);
+  static double optimalLoad(const PlanSettings& plan, double sampleCount);
+  double optimalLoad(unsigned plan, double sampleCount) const;
+  double admitProbability(const Tenant& tenant, Time attemptTime) const;
+  bool admitAtRandom(Tenant& tenant, Time attemptTime);
 
   const EngineSettings& settings_;
   const Meter& meter_;
   const LatencyModel& latency_;
   Random& random_;
-  std::vector<std::vector<double>> payingLoad_;  // of each plan with a cap, by the attempts behind it
+  // By plan, then by sample count - 1; empty for plans without a cap.
+  std::vector<std::vector<double>> optimalLoad_;
 };
 
 }  // namespace lilacmux::decision
--- a/src/decision/concurrency_limiter.cpp
+++ b/src/decision/concurrency_limiter.cpp
@@ -9,29 +9,29 @@
 namespace lilacmux::decision {
 namespace {
 
-// The most attempts of this gateway in flight at one server.
+// Upper bound of a server's limit, in attempts of this gateway in flight.
 constexpr double kMaxServerLimit = 200;
-// The least limit of the gateway; lower: servers that recover are found too late.
-constexpr double kMinLimit = 0.1;
-// Factor on a server's limit when an answer comes late; lower: half-empty servers.
-constexpr double kServerLimitCut = 0.85;
-// Share of a limit that must be in use for it to grow.
-constexpr double kUsedToGrow = 0.7;
-// Ms between cuts; one crowd of late answers is one cut.
-constexpr Time kCutInterval = 200;
-// E-folds a second by which the gateway's limit falls while answers are late.
-constexpr double kLimitCutRate = 2;
-// Multiple of the recent peak that a first late answer leaves of the limit.
-constexpr double kPeakSpare = 2;
-// Ms, time constant of the recent peak; shorter: a lull before a late answer cuts.
+// Lower bound of the gateway's limit. Below it, recovered servers are detected too late.
+constexpr double kMinGatewayLimit = 0.1;
+// Factor applied to a server's limit on a late response. Lower values leave servers half empty.
+constexpr double kServerLimitDecrease = 0.85;
+// Share of a limit that must be in use for the limit to grow.
+constexpr double kMinUseToGrow = 0.7;
+// Ms between decreases of a limit, so that a group of late responses counts once.
+constexpr Time kDecreaseInterval = 200;
+// Exponential rate, per second, at which the gateway's limit falls while responses are late.
+constexpr double kGatewayLimitDecreaseRate = 2;
+// The first late response lowers the gateway's limit to at most this multiple of the recent peak.
+constexpr double kPeakHeadroom = 2;
+// Ms, time constant of the recent peak. With a shorter one, a lull before a late response lowers the limit.
 constexpr Time kPeakTau = 5000;
-// E-folds a second by which it grows while answers are early; the two hold late answers near a quarter in
-// overload.
-constexpr double kLimitRiseRate = 0.6;
-// An answer that takes more than this share of the latency target cuts the limit.
-constexpr double kLate = 0.5;
-// An answer within this share of the latency target lets a used-up limit grow.
-constexpr double kEarly = 0.25;
+// Exponential rate, per second, at which the gateway's limit grows while responses are early. In overload,
+// the two rates keep the share of late responses near a quarter.
+constexpr double kGatewayLimitIncreaseRate = 0.6;
+// A response that takes longer than this share of the latency target lowers the limits.
+constexpr double kLateShare = 0.5;
+// A response within this share of the latency target lets a limit grow that is in use.
+constexpr double kEarlyShare = 0.25;
 
 }  // namespace
 
@@ -39,7 +39,7 @@
   if (limit_ <= 0) limit_ = kInitialLimit * static_cast<double>(servers) / settings_.gatewayCount;
 }
 
-// A fraction of an attempt is kept by chance.
+// The random draw admits the fractional part of the limit with that probability.
 bool ConcurrencyLimiter::hasRoom() { return inFlight_ + random_.next() < limit_; }
 
 void ConcurrencyLimiter::noteSent(Time now) {
@@ -52,53 +52,63 @@
   if (inFlight_ > 0) --inFlight_;
 }
 
-// The most attempts in flight lately; it fades.
+// Returns the recent maximum of attempts in flight, which decays over time.
 double ConcurrencyLimiter::peak(Time now) const {
   return std::max<double>(inFlight_, decayToward(peak_, 0, now - peakAt_, kPeakTau));
 }
 
-// Two in-flight limits, raised and cut by how an answer's time stands to the class's latency target; they
-// keep the queues at the servers short enough that what is sent is still worth answering, whatever made them
-// long. The server's own holds where a gateway has several attempts at a server; that of the whole gateway
-// goes as far below one for each server as it must where gateways outnumber what the servers hold. It moves
-// by time, not by answer, so that many answers a second say no more than a few. A late answer takes away at
-// once only what has not been used lately: held against what is in flight at that very moment, any answer of
-// the tail that came in a lull closed a gateway that was far from its limit, for seconds. That covers all
-// that is late for once, be it a long request, a machine's pause or a server cut off; a connection that
-// failed tells nothing of load at all, nor does an attempt without a good answer where the server has
-// answered later ones at once: it was lost, not waiting. It may hurt where a crowd that overdrives the
-// servers comes right after a peak that they bore, and where one server's answers alone are late: it then
-// sends less to all. A request of many units is held against its class's smallest: what it takes beyond
-// that is its own work and no wait. Without it a few large requests in the mix shut both limits for good.
-void ConcurrencyLimiter::steer(Server& server, Time now, const Attempt& attempt,
-                               const AttemptOutcome& outcome) {
+// Adjusts two limits on attempts in flight by comparing a response's latency to its class's latency target.
+// They keep the servers' queues so short that responses arrive in time, whatever the cause of the queues.
+//
+// The server's limit works where a gateway has several attempts in flight at a server. The gateway's limit
+// can fall far below one attempt per server, which is needed where the gateways outnumber the attempts that
+// the servers can hold. It changes with time, not per response, so that the number of responses per second
+// does not matter.
+//
+// A late response at once removes only the part of the gateway's limit that was not used recently. Compared
+// with the attempts in flight at that moment instead, a late response during a lull would close a gateway
+// that is far from its limit, for seconds. Late responses with a single cause, such as a long request, a
+// machine's pause or a partitioned server, therefore do little harm.
+//
+// Failed connections say nothing about load, and neither does an attempt without a good response at a server
+// that has answered later attempts early: such an attempt was lost, not queued.
+//
+// A request of many units is compared with the smallest requests of its class, because its additional time is
+// work and not queueing. Without this, a few large requests keep both limits closed.
+//
+// Known weaknesses: a burst that overloads the servers right after a peak that they handled, and late
+// responses of a single server, which reduce the traffic to all servers.
+void ConcurrencyLimiter::adjustLimits(Server& server, Time now, const Attempt& attempt,
+                                      const AttemptOutcome& outcome) {
   const Time latencyTarget = settings_.classes[attempt.classIndex].latencyTarget;
-  const Time ownWork = std::max(
-      0.0, latency_.usual(attempt.classIndex, attempt.units) - latency_.usual(attempt.classIndex, 1));
-  const Time waited = outcome.elapsed - ownWork;
-  const bool telling = outcome.result != AttemptResult::connectFailed &&
-                       outcome.result != AttemptResult::abandoned &&
-                       (outcome.result == AttemptResult::ok || server.lastEarlyAt < now - outcome.elapsed);
-  const bool late = outcome.result == AttemptResult::full || (telling && waited > kLate * latencyTarget);
-  const bool early = outcome.result == AttemptResult::ok && waited < kEarly * latencyTarget;
-  if (early) server.lastEarlyAt = now;
-  if (late && now - server.limitAt >= kCutInterval) {
-    server.limit = std::max(1.0, kServerLimitCut * std::min(server.limit, server.inFlight + 1.0));
+  const Time extraWorkTime = std::max(
+      0.0, latency_.baseline(attempt.classIndex, attempt.units) - latency_.baseline(attempt.classIndex, 1));
+  const Time adjustedLatency = outcome.elapsed - extraWorkTime;
+  const bool indicatesLoad =
+      outcome.result != AttemptResult::connectFailed && outcome.result != AttemptResult::abandoned &&
+      (outcome.result == AttemptResult::ok || server.lastEarlyResponseAt < now - outcome.elapsed);
+  const bool isLate = outcome.result == AttemptResult::full ||
+                      (indicatesLoad && adjustedLatency > kLateShare * latencyTarget);
+  const bool isEarly = outcome.result == AttemptResult::ok && adjustedLatency < kEarlyShare * latencyTarget;
+  if (isEarly) server.lastEarlyResponseAt = now;
+  if (isLate && now - server.limitAt >= kDecreaseInterval) {
+    server.limit = std::max(1.0, kServerLimitDecrease * std::min(server.limit, server.inFlight + 1.0));
     server.limitAt = now;
-  } else if (early && server.inFlight + 1 >= kUsedToGrow * server.limit) {
+  } else if (isEarly && server.inFlight + 1 >= kMinUseToGrow * server.limit) {
     server.limit = std::min(kMaxServerLimit, server.limit + 1 / server.limit);
   }
-  const double span = std::min(now - limitAt_, kCutInterval) / 1000;
+  const double seconds = std::min(now - limitAt_, kDecreaseInterval) / 1000;
   limitAt_ = now;
-  if (late && (outcome.result != AttemptResult::full || mostlyFull(now)))
-    limit_ =
-        std::max(kMinLimit, std::min(limit_, kPeakSpare * (peak(now) + 1)) * std::exp(-kLimitCutRate * span));
-  else if (early && inFlight_ + 1 >= kUsedToGrow * limit_)
-    limit_ *= std::exp(kLimitRiseRate * span);
+  if (isLate && (outcome.result != AttemptResult::full || areMostServersFull(now)))
+    limit_ = std::max(kMinGatewayLimit, std::min(limit_, kPeakHeadroom * (peak(now) + 1)) *
+                                            std::exp(-kGatewayLimitDecreaseRate * seconds));
+  else if (isEarly && inFlight_ + 1 >= kMinUseToGrow * limit_)
+    limit_ *= std::exp(kGatewayLimitIncreaseRate * seconds);
 }
 
-// Whether most servers turn attempts away: else those that do say nothing of the room at the others.
-bool ConcurrencyLimiter::mostlyFull(Time now) const {
+// Whether at least half of the servers in use reject attempts as full. If fewer do, the other servers still
+// have room.
+bool ConcurrencyLimiter::areMostServersFull(Time now) const {
   std::size_t ready = 0, full = 0;
   for (const Server& server : pool_.servers())
     if (pool_.inUse(server)) ++ready, full += server.fullUntil > now;
--- a/src/decision/concurrency_limiter.hpp
+++ b/src/decision/concurrency_limiter.hpp
@@ -1,4 +1,4 @@
-// Load shedding: adaptive limits on attempts in flight.
+// Adaptive concurrency limits: load shedding by limits on attempts in flight.
 #pragma once
 
 #include <cstddef>
@@ -11,24 +11,24 @@
 
 namespace lilacmux::decision {
 
-// Keeps one limit for all attempts of this gateway, and steers that and the limit of each server by how late
-// answers come (Server::limit).
+// Holds the concurrency limit of this gateway, and adjusts it and the limit of each server (Server::limit) by
+// the latency of responses.
 class ConcurrencyLimiter {
  public:
-  // All must outlive the limiter.
+  // All arguments must outlive the limiter.
   ConcurrencyLimiter(const EngineSettings& settings, const ServerPool& pool, const LatencyModel& latency,
                      Random& random)
       : settings_(settings), pool_(pool), latency_(latency), random_(random) {}
 
-  // Sets the first limit, once so many servers are known; later calls change nothing.
+  // Sets the initial limit from the number of servers. Only the first call has an effect.
   void start(std::size_t servers);
-  // Whether one more attempt may be in flight; draws a random number.
+  // Whether the gateway's limit allows one more attempt in flight. Draws a random number.
   bool hasRoom();
   void noteSent(Time now);
   void noteEnded();
-  // An attempt at a server has ended; to be called after noteEnded and after the server's own count was
-  // lowered.
-  void steer(Server& server, Time now, const Attempt& attempt, const AttemptOutcome& outcome);
+  // Adjusts the limits after an attempt. Must be called after noteEnded and after the server's own in-flight
+  // count was decremented.
+  void adjustLimits(Server& server, Time now, const Attempt& attempt, const AttemptOutcome& outcome);
 
   template <class Archive>
   void exchangeState(Archive& archive) {
@@ -37,16 +37,16 @@
 
  private:
   double peak(Time now) const;
-  bool mostlyFull(Time now) const;
+  bool areMostServersFull(Time now) const;
 
   const EngineSettings& settings_;
   const ServerPool& pool_;
   const LatencyModel& latency_;
   Random& random_;
   unsigned inFlight_ = 0;  // attempts at all servers
-  double peak_ = 0;        // the most in flight of late, as of peakAt_
+  double peak_ = 0;        // moving maximum of attempts in flight, as of peakAt_
   Time peakAt_ = 0;
-  double limit_ = 0;  // attempts allowed in flight; 0: not started
+  double limit_ = 0;  // attempts allowed in flight; 0: before start()
   Time limitAt_ = 0;
 };
 
--- a/src/decision/decay.hpp
+++ b/src/decision/decay.hpp
@@ -1,4 +1,4 @@
-// Exponentially weighted moving averages, which several parts of the engine keep.
+// Exponentially weighted moving averages.
 #pragma once
 
 #include <algorithm>
@@ -8,11 +8,10 @@
 
 namespace lilacmux::decision {
 
-// Stands for a point in time before any event.
+// A point in time before any event.
 constexpr Time kNever = -1e18;
 
-// The average `old`, moved towards `sample` by a step of `dt` ms of an average with a time constant of `tau`
-// ms.
+// Returns the average `old` after a step of `dt` ms towards `sample`, with a time constant of `tau` ms.
 inline double decayToward(double old, double sample, Time dt, Time tau) {
   return old + (sample - old) * (1 - std::exp(-std::max(dt, 0.0) / tau));
 }
--- a/src/decision/decision_engine.cpp
+++ b/src/decision/decision_engine.cpp
@@ -1,11 +1,11 @@
 // The decision engine. Its interface (settings, events, actions) is include/lilacmux/decision_engine.hpp.
 //
-// Core takes each event to the parts that it concerns and carries a request from its arrival to its final
-// answer; what is decided is decided in the parts. Admission: quota_admission (with tenant_table,
-// quota_estimate, concurrency_cap, meter). Server selection: load_balancer (with server_pool, slow_start,
-// outlier_detector, concurrency_limiter, latency_model). Retries: retry_policy. Hand-over: learned_state.
-// Each part's tuned values stand at the head of its file. Identical events must give identical actions bit
-// for bit, so the order of random draws and of floating-point operations is part of the behaviour.
+// Core dispatches each event to the components concerned and tracks a request from its arrival to its final
+// answer. The components make the decisions. Admission: quota_admission (with tenant_table, quota_estimate,
+// concurrency_cap, meter). Server selection: load_balancer (with server_pool, slow_start, outlier_detector,
+// concurrency_limiter, latency_model). Retries: retry_policy. Handover: learned_state. The tuning constants
+// of a component are at the top of its file. Identical events must give bit-identical actions, so the order
+// of random draws and of floating-point operations is part of the behaviour.
 #include "lilacmux/decision_engine.hpp"
 
 #include <algorithm>
@@ -34,22 +34,24 @@
 using decision::Server;
 using decision::Tenant;
 
-// Usual latencies that one answer counts for at most.
+// Upper bound of the latency ratio that one attempt can report, in baseline latencies.
 constexpr double kMaxLatencyRatio = 20;
-// Ms without sends to a server that answered that it is full; doubles up to kMaxFullBackoff.
+// Ms for which no attempts are sent to a server that responded that it is full. Doubles up to
+// kMaxFullBackoff.
 constexpr Time kMinFullBackoff = 150;
 constexpr Time kMaxFullBackoff = 2000;
-// Ms between looks for a server for a request that must not be refused.
-constexpr Time kServerWait = 40;
-// Ms advised when no server can take the request, and until a failed server list is asked for again.
+// Ms between searches for a server for a request that must not be rejected.
+constexpr Time kServerSearchInterval = 40;
+// Ms: the retry delay advised when no server is available, and the delay before resubscribing after a server
+// list could not be read.
 constexpr Time kRetryAfter = 250;
-// Ms between log lines.
+// Ms, the shortest interval between log lines.
 constexpr Time kLogInterval = 2000;
 
-// The tag of the timer after which the server list is asked for again; no RequestId is as large.
+// Tag of the timer that renews the subscription; above every RequestId.
 constexpr std::uint64_t kSubscribeTag = ~std::uint64_t{0};
 
-bool provesUnrun(AttemptResult result) {
+bool provesNotRun(AttemptResult result) {
   return result == AttemptResult::full || result == AttemptResult::connectFailed ||
          result == AttemptResult::abandoned;
 }
@@ -78,7 +80,7 @@
     if (settings_.requiresSubscription) actions_.subscribe();
   }
 
-  // The parts refer to one another.
+  // Not copyable: the components hold references to one another.
   Core(const Core&) = delete;
   Core& operator=(const Core&) = delete;
 
@@ -126,7 +128,7 @@
       pending_.erase(found);
       return;
     }
-    if (!provesUnrun(outcome.result) && !pending.mayHaveRun) noteMayHaveRun(pending, server);
+    if (!provesNotRun(outcome.result) && !pending.mayHaveRun) noteMayHaveRun(pending, server);
     if (outcome.result == AttemptResult::abandoned || now >= pending.request.expiresAt)
       return giveUp(pending);
     retry(now, pending);
@@ -169,15 +171,16 @@
   std::size_t pendingRequestCount() const { return pending_.size(); }
 
  private:
-  // --- What attempts tell of servers --------------------------------------------------------------------
+  // --- Feedback from attempts ---------------------------------------------------------------------------
 
   void noteAttemptEnd(Server& server, Time now, const Attempt& attempt, const AttemptOutcome& outcome) {
     const AttemptResult result = outcome.result;
     if (server.inFlight > 0) --server.inFlight;
     limiter_.noteEnded();
-    if (result != AttemptResult::timeout && result != AttemptResult::connectFailed) server.lastAnswerAt = now;
+    if (result != AttemptResult::timeout && result != AttemptResult::connectFailed)
+      server.lastResponseAt = now;
     if (!outcome.loadReport.empty()) balancer_.noteReport(server, now, outcome.loadReport);
-    limiter_.steer(server, now, attempt, outcome);
+    limiter_.adjustLimits(server, now, attempt, outcome);
     if (result == AttemptResult::full) {
       server.fullBackoff = std::clamp(2 * server.fullBackoff, kMinFullBackoff, kMaxFullBackoff);
       server.fullUntil = now + server.fullBackoff;
@@ -188,7 +191,7 @@
       return;
     noteLatency(server, now, attempt, outcome);
     if (result == AttemptResult::ok) {
-      slowStart_.noteGoodAnswer(server, now);
+      slowStart_.noteSuccess(server, now);
       outliers_.noteSuccess(server);
       server.fullBackoff = 0;
     } else if (outliers_.noteFailure(server, now)) {
@@ -196,13 +199,14 @@
     }
   }
 
-  // A time-out tells of latency only that it was longer still, an error says nothing of it.
+  // A time-out gives only a lower bound of the latency, and an error says nothing about it.
   void noteLatency(Server& server, Time now, const Attempt& attempt, const AttemptOutcome& outcome) {
     const AttemptResult result = outcome.result;
     if (result != AttemptResult::ok && result != AttemptResult::timeout) return;
-    if (result == AttemptResult::ok) latency_.note(attempt.classIndex, attempt.units, now, outcome.elapsed);
+    if (result == AttemptResult::ok)
+      latency_.addSample(attempt.classIndex, attempt.units, now, outcome.elapsed);
     const double ratio =
-        std::min(kMaxLatencyRatio, outcome.elapsed / latency_.usual(attempt.classIndex, attempt.units));
+        std::min(kMaxLatencyRatio, outcome.elapsed / latency_.baseline(attempt.classIndex, attempt.units));
     if (result == AttemptResult::ok || ratio > outliers_.latencyRatio(server))
       outliers_.noteLatency(server, now, ratio);
   }
@@ -214,49 +218,51 @@
     const Time timeout = retries_.attemptTimeout(now, pending);
     pending.sentAt = now;
     pending.attemptInFlight = true;
-    pending.tried.push_back(server.listed.id);
+    pending.triedServers.push_back(server.listed.id);
     attempts_[attemptKey(request.id, pending.attempts)] =
         Attempt{request.tenant, request.classIndex, request.units};
     ++pending.attempts;
     limiter_.noteSent(now);
-    if (++server.inFlight == 1) server.lastAnswerAt = now;
+    if (++server.inFlight == 1) server.lastResponseAt = now;
     slowStart_.noteSent(server);
     if (Tenant* tenant = quota_.find(request.tenant)) quota_.noteInFlight(*tenant, now, 1);
     actions_.send(request.id, server.listed.id, timeout);
   }
 
-  // `server`: where it may have run; null: one that has left the list since.
+  // Marks that an attempt of the request may have run. server: where it may have run; null if that server has
+  // since left the list.
   static void noteMayHaveRun(PendingRequest& pending, const Server* server) {
     pending.mayHaveRun = true;
-    pending.ranSince = pending.sentAt;
+    pending.mayHaveRunSince = pending.sentAt;
     if (!server) return;
-    pending.ranZone = server->listed.zone;
-    pending.ranCell = server->listed.cell;
+    pending.mayHaveRunZone = server->listed.zone;
+    pending.mayHaveRunCell = server->listed.cell;
   }
 
-  // Another attempt where the class and the time allow one, else the final answer. A request that must not be
-  // refused waits for a server.
+  // Sends another attempt if the request's class and remaining time allow one; otherwise gives the final
+  // answer. A request that must not be rejected waits for a server.
   void retry(Time now, PendingRequest& pending) {
     if (!retries_.mayRetry(now, pending)) return giveUp(pending);
     if (Server* server = balancer_.select(now, pending)) return send(now, pending, *server);
-    if (!pending.mayHaveRun || now + kServerWait >= pending.request.expiresAt) return giveUp(pending);
-    actions_.setTimer(kServerWait, pending.request.id);
+    if (!pending.mayHaveRun || now + kServerSearchInterval >= pending.request.expiresAt)
+      return giveUp(pending);
+    actions_.setTimer(kServerSearchInterval, pending.request.id);
   }
 
-  // A refusal says that trying again is harmless; where that is not known the answer is a failure.
+  // Rejects the request if it is safe for the client to send it again; otherwise reports a failure.
   void giveUp(const PendingRequest& pending) {
     const RequestId id = pending.request.id;
-    const bool harmless = retries_.isHarmless(pending);
+    const bool isSafe = retries_.isSafeToResend(pending);
     pending_.erase(id);
-    if (harmless)
+    if (isSafe)
       reject(id, kRetryAfter);
     else
       actions_.fail(id);
   }
 
   void reject(RequestId id, Time wait) {
-    const Time most = settings_.maxRetryAfter > 0 ? settings_.maxRetryAfter : wait;
-    actions_.reject(id, std::clamp(wait, 1.0, std::max(1.0, most)));
+    const Time longest = settings_.maxRetryAfter > 0 ? settings_.maxRetryAfter : wait;
+    actions_.reject(id, std::clamp(wait, 1.0, std::max(1.0, longest)));
   }
 
   void log(Time now, const char* line) {
--- a/src/decision/engine_settings.cpp
+++ b/src/decision/engine_settings.cpp
@@ -8,32 +8,32 @@
 namespace lilacmux {
 namespace {
 
-constexpr unsigned kMostItems = 4096;  // a list longer than this is taken for a damaged frame
+constexpr unsigned kMaxItems = 4096;  // longer lists indicate a damaged frame
 
-[[noreturn]] void bad(std::string_view what, std::string_view text) {
+[[noreturn]] void throwError(std::string_view what, std::string_view text) {
   throw std::runtime_error(std::string(what) + ": " + std::string(text));
 }
 
-double number(std::string_view key, std::string_view text) {
+double parseNumber(std::string_view key, std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc() || end != text.data() + text.size()) bad("settings: not a number", key);
+  if (error != std::errc() || end != text.data() + text.size()) throwError("settings: not a number", key);
   return value;
 }
 
-unsigned whole(std::string_view key, std::string_view text) {
-  const double value = number(key, text);
-  if (!(value >= 0 && value <= 4294967295.0)) bad("settings: not a whole number", key);
+unsigned parseWholeNumber(std::string_view key, std::string_view text) {
+  const double value = parseNumber(key, text);
+  if (!(value >= 0 && value <= 4294967295.0)) throwError("settings: not a whole number", key);
   return static_cast<unsigned>(value);
 }
 
-bool truth(std::string_view key, std::string_view text) {
+bool parseBoolean(std::string_view key, std::string_view text) {
   if (text == "true") return true;
   if (text == "false") return false;
-  bad("settings: neither true nor false", key);
+  throwError("settings: neither true nor false", key);
 }
 
-std::vector<std::string> words(std::string_view text) {
+std::vector<std::string> splitByComma(std::string_view text) {
   std::vector<std::string> out;
   while (!text.empty()) {
     const auto comma = text.find(',');
@@ -52,65 +52,67 @@
 }
 
 void readNumber(const Pairs& pairs, const std::string& key, double& target) {
-  read(pairs, key, [&](std::string_view k, std::string_view v) { target = number(k, v); });
+  read(pairs, key, [&](std::string_view name, std::string_view value) { target = parseNumber(name, value); });
 }
 
-void readWhole(const Pairs& pairs, const std::string& key, unsigned& target) {
-  read(pairs, key, [&](std::string_view k, std::string_view v) { target = whole(k, v); });
+void readWholeNumber(const Pairs& pairs, const std::string& key, unsigned& target) {
+  read(pairs, key,
+       [&](std::string_view name, std::string_view value) { target = parseWholeNumber(name, value); });
 }
 
-void readTruth(const Pairs& pairs, const std::string& key, bool& target) {
-  read(pairs, key, [&](std::string_view k, std::string_view v) { target = truth(k, v); });
+void readBoolean(const Pairs& pairs, const std::string& key, bool& target) {
+  read(pairs, key,
+       [&](std::string_view name, std::string_view value) { target = parseBoolean(name, value); });
 }
 
-unsigned count(const Pairs& pairs, const std::string& key) {
+unsigned readCount(const Pairs& pairs, const std::string& key) {
   unsigned items = 0;
-  readWhole(pairs, key + ".count", items);
-  if (items > kMostItems) bad("settings: too many items", key);
+  readWholeNumber(pairs, key + ".count", items);
+  if (items > kMaxItems) throwError("settings: too many items", key);
   return items;
 }
 
-ClassSettings readClass(const Pairs& pairs, const std::string& at) {
+ClassSettings readClass(const Pairs& pairs, const std::string& prefix) {
   ClassSettings out;
-  readNumber(pairs, at + "aim", out.latencyTarget);
-  readNumber(pairs, at + "deadline", out.deadline);
-  readNumber(pairs, at + "window", out.deduplicationWindow);
-  readNumber(pairs, at + "worth", out.priorityWeight);
-  readNumber(pairs, at + "lateWorth", out.lateWeight);
-  read(pairs, at + "repeat", [&](std::string_view k, std::string_view v) {
-    if (v == "safe")
+  readNumber(pairs, prefix + "aim", out.latencyTarget);
+  readNumber(pairs, prefix + "deadline", out.deadline);
+  readNumber(pairs, prefix + "window", out.deduplicationWindow);
+  readNumber(pairs, prefix + "worth", out.priorityWeight);
+  readNumber(pairs, prefix + "lateWorth", out.lateWeight);
+  read(pairs, prefix + "repeat", [&](std::string_view name, std::string_view value) {
+    if (value == "safe")
       out.idempotency = Idempotency::safe;
-    else if (v == "keyed")
+    else if (value == "keyed")
       out.idempotency = Idempotency::keyed;
-    else if (v == "unsafe")
+    else if (value == "unsafe")
       out.idempotency = Idempotency::unsafe;
     else
-      bad("settings: unknown word", k);
+      throwError("settings: unknown keyword", name);
   });
-  read(pairs, at + "dedupScope", [&](std::string_view k, std::string_view v) {
-    if (v == "all")
+  read(pairs, prefix + "dedupScope", [&](std::string_view name, std::string_view value) {
+    if (value == "all")
       out.deduplicationScope = DeduplicationScope::all;
-    else if (v == "zone")
+    else if (value == "zone")
       out.deduplicationScope = DeduplicationScope::zone;
-    else if (v == "cell")
+    else if (value == "cell")
       out.deduplicationScope = DeduplicationScope::cell;
     else
-      bad("settings: unknown word", k);
+      throwError("settings: unknown keyword", name);
   });
   return out;
 }
 
-PlanSettings readPlan(const Pairs& pairs, const std::string& at) {
+PlanSettings readPlan(const Pairs& pairs, const std::string& prefix) {
   PlanSettings out;
-  readNumber(pairs, at + "unitsPerS", out.rate);
-  readNumber(pairs, at + "depth", out.burst);
-  readWhole(pairs, at + "atOnce", out.maxInFlight);
-  readNumber(pairs, at + "ceilingRate", out.hardLimitRate);
-  readNumber(pairs, at + "hardBurst", out.hardLimitBurst);
-  readNumber(pairs, at + "tolerance", out.hardLimitSlack);
-  readNumber(pairs, at + "pays", out.price);
-  readNumber(pairs, at + "overWorth", out.overQuotaWeight);
-  readNumber(pairs, at + "overrunCost", out.overQuotaCost);
+  readNumber(pairs, prefix + "unitsPerS", out.rate);
+  readNumber(pairs, prefix + "depth", out.burst);
+  readWholeNumber(pairs, prefix + "atOnce", out.maxInFlight);
+  readNumber(pairs, prefix + "ceilingRate", out.hardLimitRate);
+  readNumber(pairs, prefix + "hardBurst", out.hardLimitBurst);
+  readNumber(pairs, prefix + "tolerance", out.hardLimitSlack);
+  readNumber(pairs, prefix + "pays", out.price);
+  readNumber(pairs, prefix + "overWorth", out.overQuotaWeight);
+  readNumber(pairs, prefix + "overrunCost", out.overQuotaCost);
   return out;
 }
 
@@ -122,18 +124,18 @@
     text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
     if (line.empty()) continue;
-    const auto sign = line.find('=');
-    if (sign == std::string_view::npos) bad("settings: a line without '='", line.substr(0, 60));
-    pairs.insert_or_assign(std::string(line.substr(0, sign)), std::string(line.substr(sign + 1)));
+    const auto separator = line.find('=');
+    if (separator == std::string_view::npos) throwError("settings: a line without '='", line.substr(0, 60));
+    pairs.insert_or_assign(std::string(line.substr(0, separator)), std::string(line.substr(separator + 1)));
   }
   return pairs;
 }
 
-std::vector<std::string> names(const Pairs& pairs, const std::string& key) {
-  std::vector<std::string> out(count(pairs, key));
+std::vector<std::string> readNames(const Pairs& pairs, const std::string& key) {
+  std::vector<std::string> out(readCount(pairs, key));
   for (std::size_t i = 0; i < out.size(); ++i)
     read(pairs, key + "." + std::to_string(i) + ".name",
-         [&](std::string_view, std::string_view v) { out[i] = v; });
+         [&](std::string_view, std::string_view value) { out[i] = value; });
   return out;
 }
 
@@ -142,20 +144,20 @@
 EngineSettings parseEngineSettings(std::string_view text) {
   const Pairs pairs = readPairs(text);
   EngineSettings out;
-  readWhole(pairs, "me", out.gatewayIndex);
-  readWhole(pairs, "nInstances", out.gatewayCount);
-  readWhole(pairs, "locality", out.zone);
+  readWholeNumber(pairs, "me", out.gatewayIndex);
+  readWholeNumber(pairs, "nInstances", out.gatewayCount);
+  readWholeNumber(pairs, "locality", out.zone);
   read(pairs, "report.fields",
-       [&](std::string_view, std::string_view v) { out.loadReportFields = words(v); });
-  read(pairs, "discovery", [&](std::string_view k, std::string_view v) {
-    if (v != "pushed" && v != "on_request") bad("settings: unknown word", k);
-    out.requiresSubscription = v == "on_request";
+       [&](std::string_view, std::string_view value) { out.loadReportFields = splitByComma(value); });
+  read(pairs, "discovery", [&](std::string_view name, std::string_view value) {
+    if (value != "pushed" && value != "on_request") throwError("settings: unknown keyword", name);
+    out.requiresSubscription = value == "on_request";
   });
   readNumber(pairs, "rules.askWithin", out.subscribeWithin);
-  readWhole(pairs, "permissions.attemptsCap", out.maxAttempts);
+  readWholeNumber(pairs, "permissions.attemptsCap", out.maxAttempts);
   readNumber(pairs, "permissions.maxRetryAfter", out.maxRetryAfter);
   readNumber(pairs, "familyInfo.metering", out.meterPeriod);
-  readTruth(pairs, "familyInfo.truedUp", out.hasEstimatedUnits);
+  readBoolean(pairs, "familyInfo.truedUp", out.hasEstimatedUnits);
   readNumber(pairs, "familyInfo.mostUnits", out.maxUnits);
   readNumber(pairs, "rules.stopSendingWithin", out.drainGracePeriod);
   readNumber(pairs, "rules.coldFrom", out.initialCapacityShare);
@@ -163,10 +165,10 @@
   readNumber(pairs, "rules.fallMultiple", out.overloadFactor);
   readNumber(pairs, "rules.overloadFor", out.overloadDuration);
   readNumber(pairs, "prices.crossZone", out.crossZonePrice);
-  const unsigned classes = count(pairs, "profiles");
+  const unsigned classes = readCount(pairs, "profiles");
   for (unsigned i = 0; i < classes; ++i)
     out.classes.push_back(readClass(pairs, "profiles." + std::to_string(i) + "."));
-  const unsigned plans = count(pairs, "plans");
+  const unsigned plans = readCount(pairs, "plans");
   for (unsigned i = 0; i < plans; ++i)
     out.plans.push_back(readPlan(pairs, "plans." + std::to_string(i) + "."));
   return out;
@@ -175,10 +177,11 @@
 HostSettings parseHostSettings(std::string_view text) {
   const Pairs pairs = readPairs(text);
   HostSettings out;
-  out.classes = names(pairs, "profiles");
-  out.plans = names(pairs, "plans");
-  read(pairs, "localities", [&](std::string_view, std::string_view v) { out.zones = words(v); });
-  read(pairs, "shapes", [&](std::string_view, std::string_view v) { out.kinds = words(v); });
+  out.classes = readNames(pairs, "profiles");
+  out.plans = readNames(pairs, "plans");
+  read(pairs, "localities",
+       [&](std::string_view, std::string_view value) { out.zones = splitByComma(value); });
+  read(pairs, "shapes", [&](std::string_view, std::string_view value) { out.kinds = splitByComma(value); });
   readNumber(pairs, "permissions.dialTimeout", out.connectTimeout);
   readNumber(pairs, "permissions.connIdle", out.idleTimeout);
   return out;
--- a/src/decision/engine_settings.hpp
+++ b/src/decision/engine_settings.hpp
@@ -1,4 +1,4 @@
-// `path=value` settings, as an instance gets them at its start.
+// Parsers for an instance's startup settings: lines of the form `path=value`.
 #pragma once
 
 #include <string>
@@ -9,16 +9,16 @@
 
 namespace lilacmux {
 
-// What the settings say to the host and not to the module: the names used on sockets, and the connections'
-// times.
+// The settings that concern the host and not the engine: the names used on sockets, and connection timeouts
+// in ms.
 struct HostSettings {
   std::vector<std::string> classes, plans, zones, kinds;  // names, by index
   Time connectTimeout = 250;
-  Time idleTimeout = 30000;  // a worker closes a connection idle this long
+  Time idleTimeout = 30000;  // servers close connections that have been idle for this long
 };
 
-// Both throw std::runtime_error with one plain line on a malformed line, number or word. Unknown keys are
-// ignored.
+// Both functions throw std::runtime_error with a one-line message on a malformed line, number or keyword.
+// Unknown keys are ignored.
 EngineSettings parseEngineSettings(std::string_view text);
 HostSettings parseHostSettings(std::string_view text);
 
--- a/src/decision/latency_model.hpp
+++ b/src/decision/latency_model.hpp
@@ -1,4 +1,4 @@
-// How long attempts usually take.
+// Baseline latencies of attempts.
 #pragma once
 
 #include <cstddef>
@@ -8,20 +8,22 @@
 
 namespace lilacmux::decision {
 
-// The usual latency of good answers by class, and in a class by the units of the request. All times in ms.
+// Moving averages of the latency of successful attempts, by class and by the units of the request. All times
+// in ms.
 class LatencyModel {
  public:
   // `settings` must outlive the model.
   LatencyModel(const EngineSettings& settings, Time now);
 
-  // Of a class, whatever the units; a share of its latency target until it has had an answer.
-  Time usual(unsigned classIndex) const;
-  // Of a class's requests of so many units.
-  Time usual(unsigned classIndex, double units) const;
-  // The longest usual latency of all classes; 0: no answer yet.
+  // Returns the baseline latency of a class over all request sizes; a share of its latency target before the
+  // first response.
+  Time baseline(unsigned classIndex) const;
+  // Returns the baseline latency of a class's requests of this many units.
+  Time baseline(unsigned classIndex, double units) const;
+  // Returns the longest baseline latency of any class; 0 before the first response.
   Time longest() const;
-  // A good answer took so long.
-  void note(unsigned classIndex, double units, Time now, Time elapsed);
+  // Adds the latency of a successful attempt.
+  void addSample(unsigned classIndex, double units, Time now, Time elapsed);
 
   template <class Archive>
   void exchangeState(Archive& archive) {
@@ -30,19 +32,21 @@
   }
 
  private:
-  // A latency, fading by time; mean 0: no answer yet.
+  // A latency average that decays over time; mean 0: no response yet.
   struct Average {
     Time mean = 0, at = 0;
-    void note(Time now, Time elapsed);
+    void addSample(Time now, Time elapsed);
   };
 
-  std::size_t sizes() const;
-  std::size_t sizeOf(double units) const;
-  std::size_t indexOf(unsigned classIndex, std::size_t size) const { return classIndex * sizes() + size - 1; }
+  std::size_t sizeCount() const;
+  std::size_t sizeIndex(double units) const;
+  std::size_t indexOf(unsigned classIndex, std::size_t size) const {
+    return classIndex * sizeCount() + size - 1;
+  }
 
   const EngineSettings& settings_;
   std::vector<Average> byClass_;
-  std::vector<Average> bySize_;  // of each class and size in it, at indexOf
+  std::vector<Average> bySize_;  // by class and size, at indexOf
 };
 
 }  // namespace lilacmux::decision
--- a/src/decision/learned_state.cpp
+++ b/src/decision/learned_state.cpp
@@ -8,30 +8,31 @@
 namespace lilacmux::decision {
 namespace {
 
-// Another number with every change of what is handed over.
-constexpr double kFormVersion = 2;
-// Tenants handed over at most; more: megabytes.
-constexpr double kMaxHandedTenants = 1024;
+// Version of the format; must change whenever the layout changes.
+constexpr double kFormatVersion = 2;
+// The largest number of tenants handed over. More would take megabytes.
+constexpr double kMaxExportedTenants = 1024;
 
 template <class State>
-State readOne(NumberReader& reader) {
+State readState(NumberReader& reader) {
   State state;
   exchangeState(reader, state);
   return state;
 }
 
-// Numbers that a server or a tenant takes.
+// Returns how many numbers the state of a server or of a tenant takes.
 template <class State>
-double numbersOf() {
-  State any;
+double stateSize() {
+  State state;
   NumberWriter writer;
-  exchangeState(writer, any);
+  exchangeState(writer, state);
   return static_cast<double>(writer.out.size());
 }
 
 }  // namespace
 
-// What belongs to no server and no tenant. The order of the parts is part of the form.
+// Writes or reads the state that belongs to no single server or tenant. The order of the components is part
+// of the format.
 template <class Archive>
 void LearnedState::exchangeShared(Archive& archive) {
   quota_.meter().exchangeTiming(archive);
@@ -45,28 +46,29 @@
   outliers_.exchangeState(archive);
 }
 
-// What both sides must have alike: the form's number, the sizes of its parts, and the settings' shape.
-std::vector<double> LearnedState::form() {
+// Returns the figures that must be equal in both processes: the format version, the sizes of its parts, and
+// dimensions of the settings.
+std::vector<double> LearnedState::header() {
   NumberWriter shared;
   exchangeShared(shared);
-  return {kFormVersion,
+  return {kFormatVersion,
           static_cast<double>(shared.out.size()),
-          numbersOf<Server>(),
-          numbersOf<Tenant>(),
+          stateSize<Server>(),
+          stateSize<Tenant>(),
           static_cast<double>(settings_.classes.size()),
           static_cast<double>(settings_.plans.size()),
           static_cast<double>(settings_.gatewayCount),
           static_cast<double>(settings_.gatewayIndex)};
 }
 
-// Of the tenants only those of whom something is known that one new to a gateway would not have.
+// Skips tenants whose state equals that of a tenant new to a gateway.
 std::vector<double> LearnedState::write(Time now) {
   NumberWriter writer;
   NumberWriter tenants;
   double serverCount = static_cast<double>(pool_.size());
   double tenantCount = 0;
   auto& entries = quota_.tenants().entries();
-  for (auto it = entries.rbegin(); it != entries.rend() && tenantCount < kMaxHandedTenants; ++it) {
+  for (auto it = entries.rbegin(); it != entries.rend() && tenantCount < kMaxExportedTenants; ++it) {
     quota_.advance(*it, now);
     const double burst = settings_.plans[it->plan].burst;
     if (it->inFlight == 0 && it->tokens >= burst && it->globalTokens >= burst) continue;
@@ -76,14 +78,14 @@
   writer(serverCount, tenantCount);
   exchangeShared(writer);
   for (Server& server : pool_.servers()) exchangeState(writer, server);
-  std::vector<double> numbers = form();
+  std::vector<double> numbers = header();
   numbers.insert(numbers.end(), writer.out.begin(), writer.out.end());
   numbers.insert(numbers.end(), tenants.out.begin(), tenants.out.end());
   return numbers;
 }
 
 bool LearnedState::read(Time now, const std::vector<double>& numbers) {
-  const std::vector<double> expected = form();
+  const std::vector<double> expected = header();
   if (!quota_.tenants().empty() || numbers.size() < expected.size() + 2 ||
       !std::equal(expected.begin(), expected.end(), numbers.begin()) ||
       !std::all_of(numbers.begin(), numbers.end(), [](double value) { return std::isfinite(value); }))
@@ -95,8 +97,8 @@
     return false;
   NumberReader reader(numbers.data() + expected.size() + 2);
   exchangeShared(reader);
-  for (double i = 0; i < servers; ++i) pool_.adopt(readOne<Server>(reader), now);
-  for (double i = 0; i < tenants; ++i) quota_.adopt(readOne<Tenant>(reader), now);
+  for (double i = 0; i < servers; ++i) pool_.adopt(readState<Server>(reader), now);
+  for (double i = 0; i < tenants; ++i) quota_.adopt(readState<Tenant>(reader), now);
   return true;
 }
 
--- a/src/decision/learned_state.hpp
+++ b/src/decision/learned_state.hpp
@@ -1,4 +1,4 @@
-// What one process has learned, handed to the one that takes its place as plain numbers.
+// Learned state that a process hands over, as plain numbers, to the process that replaces it.
 #pragma once
 
 #include <vector>
@@ -14,12 +14,12 @@
 
 namespace lilacmux::decision {
 
-// Writes and reads the learned state of an engine's parts. Its form: kFormVersion and the figures that both
-// processes must have alike (form()), the numbers of servers and of tenants, what belongs to neither, the
-// servers, the tenants.
+// Writes and reads the learned state of an engine's components. Layout: the header() (kFormatVersion and the
+// figures that must be equal in both processes), the number of servers, the number of tenants, the state
+// shared by all servers and tenants, the servers, the tenants.
 class LearnedState {
  public:
-  // All must outlive the object.
+  // All arguments must outlive the object.
   LearnedState(const EngineSettings& settings, QuotaAdmission& quota, LatencyModel& latency, ServerPool& pool,
                ConcurrencyLimiter& limiter, RetryPolicy& retries, SlowStart& slowStart,
                OutlierDetector& outliers)
@@ -33,13 +33,14 @@
         outliers_(outliers) {}
 
   std::vector<double> write(Time now);
-  // False, with nothing changed: the numbers are malformed or of another form, or there are tenants already.
+  // Returns false, without any change, if the numbers are malformed or of another format, or if there are
+  // tenants already.
   bool read(Time now, const std::vector<double>& numbers);
 
  private:
   template <class Archive>
   void exchangeShared(Archive& archive);
-  std::vector<double> form();
+  std::vector<double> header();
 
   const EngineSettings& settings_;
   QuotaAdmission& quota_;
--- a/src/decision/load_balancer.hpp
+++ b/src/decision/load_balancer.hpp
@@ -13,11 +13,11 @@
 
 namespace lilacmux::decision {
 
-// Selects by cost: the load of a server, its latency and its zone. Keeps what load reports tell of the other
-// gateways.
+// Selects servers by cost: a server's load, latency and zone. Keeps the other gateways' load as given by load
+// reports.
 class LoadBalancer {
  public:
-  // All must outlive the balancer.
+  // All arguments must outlive the balancer.
   LoadBalancer(const EngineSettings& settings, ServerPool& pool, const SlowStart& slowStart,
                const OutlierDetector& outliers, ConcurrencyLimiter& limiter, Random& random)
       : settings_(settings),
@@ -27,9 +27,11 @@
         limiter_(limiter),
         random_(random) {}
 
-  // The server for the request's next attempt; null: none can take it now. Draws random numbers.
+  // Returns the server for the request's next attempt, or null if no server can take it now. Draws random
+  // numbers.
   Server* select(Time now, const PendingRequest& pending);
-  // A load report came with the server's answer, by EngineSettings::reportFields.
+  // Records a load report from a server's response; the values are in the order of
+  // EngineSettings::loadReportFields.
   void noteReport(Server& server, Time now, const std::vector<double>& report);
 
  private:
@@ -42,7 +44,7 @@
   const OutlierDetector& outliers_;
   ConcurrencyLimiter& limiter_;
   Random& random_;
-  double meanOthers_ = 0;  // attempts of the other gateways in flight at a server, by load reports
+  double meanOthersInFlight_ = 0;  // other gateways' attempts in flight per server, by load reports
 };
 
 }  // namespace lilacmux::decision
--- a/src/decision/meter.hpp
+++ b/src/decision/meter.hpp
@@ -1,5 +1,5 @@
-// What a gateway learns of the meter that reports the use of quotas: when its readings come out, and which
-// period each of them covers.
+// The meter that reports the use of quotas: when its readings are published and which period each covers, as
+// learned from responses.
 #pragma once
 
 #include <array>
@@ -11,30 +11,31 @@
 
 namespace lilacmux::decision {
 
-// When a meter that adds up all tenants at once brings out its readings: a value that has changed since the
-// answer before came out between the two, and the narrowest such spans of all tenants, put over one
-// another, leave a few ms of the period.
+// The times at which the meter, which covers all tenants at once, publishes readings. A reading that differs
+// from the previous response's was published between the two responses. Intersecting these intervals of all
+// tenants, modulo the period, narrows the publication time down to a few ms.
 class MeterPhase {
  public:
   explicit MeterPhase(Time period) : period_(period) {}
-  bool known() const { return known_; }
-  // The last time by `now` at which readings came out.
-  Time before(Time now) const;
-  // A reading came out after `after` and by `by`.
-  void noteChange(Time after, Time by);
+  bool isKnown() const { return isKnown_; }
+  // Returns the last publication time up to `now`.
+  Time lastPublication(Time now) const;
+  // Records that a reading was published after `after` and no later than `by`.
+  void notePublication(Time after, Time by);
 
   template <class Archive>
   void exchangeState(Archive& archive) {
-    archive(low_, high_, known_);
+    archive(earliest_, latest_, isKnown_);
   }
 
  private:
-  Time period_, low_ = 0, high_ = 0;
-  unsigned misses_ = 0;
-  bool known_ = false;
+  Time period_, earliest_ = 0, latest_ = 0;
+  unsigned missCount_ = 0;
+  bool isKnown_ = false;
 };
 
-// The timing of readings, learned from the answers of all tenants, and the slots in which use is counted.
+// The timing of readings, learned from the responses of all tenants, and the time slots in which use is
+// counted.
 class Meter {
  public:
   // period: ms that one reading covers; 0: there are no readings.
@@ -44,18 +45,20 @@
   Time slotLength() const;  // ms, more than 0
   long slotAt(Time now) const;
 
-  // An answer without a reading came.
+  // Records a response without a reading.
   void noteNoReading(Time now);
-  // An answer of a tenant brought a reading; to be called before it is stored in the tenant.
+  // Records a reading from a response to the tenant. Must be called before the reading is stored in the
+  // tenant.
   void noteReading(Tenant& tenant, Time now, int percent);
-  // Whether the reading is not the one that the tenant's answers have brought before.
+  // Whether the reading is newer than the one stored in the tenant.
   bool isNew(const Tenant& tenant, Time now, int percent) const;
-  // The slot in which the reading came out that is known at `now`.
+  // Returns the slot in which the reading known at `now` was published.
   long publishedSlot(Time now) const;
-  // Slots from the end of a metered period to the publication of its reading.
+  // Returns the lag: slots from the end of a metered period to the publication of its reading.
   int lag() const;
-  // Learns that lag from a reading published in slot `out`, of so many units for all gateways.
-  void learnLag(const Tenant& tenant, long out, double metered);
+  // Updates the lag estimate by a reading, published in slot `publishedSlot`, of `metered` units over all
+  // gateways.
+  void learnLag(const Tenant& tenant, long publishedSlot, double metered);
 
   template <class Archive>
   void exchangeTiming(Archive& archive) {
@@ -64,17 +67,18 @@
   }
   template <class Archive>
   void exchangeReadings(Archive& archive) {
-    archive(noReadingAt_, anyReading_);
+    archive(noReadingAt_, hasReading_);
   }
 
  private:
-  static constexpr int kLags = kSlots - 2 * kPeriodSlots;  // slots of lag told apart
+  static constexpr int kLagCount = kSlots - 2 * kPeriodSlots;  // possible lags, in slots
 
   Time period_;
   MeterPhase phase_;
-  std::array<double, kLags> misfit_{};  // own use over the metered one, by the lag held against it
-  Time noReadingAt_ = kNever;           // the last answer without a reading, before any came
-  bool anyReading_ = false;
+  // By lag: decayed sum of own use beyond the metered use, in requests.
+  std::array<double, kLagCount> misfit_{};
+  Time noReadingAt_ = kNever;  // the last response without a reading, before the first reading
+  bool hasReading_ = false;
 };
 
 }  // namespace lilacmux::decision
--- a/src/decision/meter_slots.hpp
+++ b/src/decision/meter_slots.hpp
@@ -1,4 +1,4 @@
-// Rings of time slots, in which a tenant's recent use is kept to be compared with metered readings.
+// Ring buffers of time slots that record a tenant's recent use, for comparison with metered readings.
 #pragma once
 
 #include <array>
@@ -6,21 +6,21 @@
 
 namespace lilacmux::decision {
 
-// Slots of a metered period; with fewer, windows of slots do not fit the meter's.
+// Slots per metered period. With fewer, groups of slots don't match the meter's periods.
 constexpr int kPeriodSlots = 8;
-// Slots of a ring: eight metered periods.
+// Slots per ring: eight metered periods.
 constexpr int kSlots = 64;
 
-// One figure a slot; slot n is kept at slotIndex(n).
+// One value per slot; slot n is stored at slotIndex(n).
 using MeterSlots = std::array<float, kSlots>;
 
-// The place of a slot in its ring; slot numbers count from the clock's zero and may be negative.
+// Returns the index of a slot in its ring. Slot numbers count from the clock's zero and may be negative.
 inline std::size_t slotIndex(long slot) {
   return static_cast<std::size_t>((slot % kSlots + kSlots) % kSlots);
 }
 
-// Sum of the slots of the metered period that ends before slot `end`.
-inline double overPeriod(const MeterSlots& slots, long end) {
+// Returns the sum over the metered period that ends before slot `end`.
+inline double sumOverPeriod(const MeterSlots& slots, long end) {
   double sum = 0;
   for (long i = end - kPeriodSlots; i < end; ++i) sum += slots[slotIndex(i)];
   return sum;
--- a/src/decision/number_codec.hpp
+++ b/src/decision/number_codec.hpp
@@ -1,4 +1,4 @@
-// Plain numbers one after the other, in which what one process has learned goes to the next.
+// Serialization of learned state as a sequence of plain numbers.
 #pragma once
 
 #include <cmath>
@@ -7,7 +7,8 @@
 
 namespace lilacmux {
 
-// What is handed to the next process, one number after the other; each part's `exchange` serves both ways.
+// Appends values to a sequence of numbers. A type's exchangeState function serves both NumberWriter and
+// NumberReader.
 class NumberWriter {
  public:
   template <class... T>
@@ -17,25 +18,27 @@
   std::vector<double> out;
 };
 
-class NumberReader {  // of as many numbers as are asked for; one that its place cannot hold counts as 0
+// Reads values from a sequence of numbers that must hold as many as are requested. A number outside the range
+// of its variable's type is read as 0.
+class NumberReader {
  public:
-  explicit NumberReader(const double* from) : at_(from) {}
+  explicit NumberReader(const double* begin) : next_(begin) {}
   template <class... T>
   void operator()(T&... values) {
-    (take(values), ...);
+    (read(values), ...);
   }
 
  private:
   template <class T>
-  void take(T& value) {
+  void read(T& value) {
     using Range = std::numeric_limits<T>;
-    const double told = *at_++;
-    const double least = static_cast<double>(Range::lowest());
-    const bool fits = told >= least && (Range::is_integer ? told < std::ldexp(1.0, Range::digits)
-                                                          : told <= static_cast<double>(Range::max()));
-    value = fits ? static_cast<T>(told) : T{};
+    const double number = *next_++;
+    const double lowest = static_cast<double>(Range::lowest());
+    const bool fits = number >= lowest && (Range::is_integer ? number < std::ldexp(1.0, Range::digits)
+                                                             : number <= static_cast<double>(Range::max()));
+    value = fits ? static_cast<T>(number) : T{};
   }
-  const double* at_;
+  const double* next_;
 };
 
 }  // namespace lilacmux
--- a/src/decision/outlier_detector.hpp
+++ b/src/decision/outlier_detector.hpp
@@ -1,4 +1,4 @@
-// Health of servers as their answers show it.
+// Outlier detection: the health of servers, judged by their responses.
 #pragma once
 
 #include <map>
@@ -9,34 +9,35 @@
 
 namespace lilacmux::decision {
 
-// Ejects servers whose attempts fail in a row, and knows which are slow or unresponsive.
+// Ejects servers with consecutive failures, and detects slow and unresponsive servers.
 class OutlierDetector {
  public:
   // `latency` must outlive the detector.
   explicit OutlierDetector(const LatencyModel& latency) : latency_(latency) {}
 
-  // Sent to only where there is no other: ejected, on trial after that, or unresponsive.
+  // Whether the server should be used only if there is no other: it is ejected, on trial after an ejection,
+  // or unresponsive.
   bool isAvoided(const Server& server, Time now) const;
-  // The server's latency over the usual one of the requests that it was sent; 1: as usual.
+  // Returns the server's latency as a multiple of the baseline latency of the requests that it was sent.
   double latencyRatio(const Server& server) const;
 
   void noteLatency(Server& server, Time now, double ratio);
   void noteSuccess(Server& server);
-  // True: the server has been ejected for it.
+  // Returns true if the failure has ejected the server.
   bool noteFailure(Server& server, Time now);
 
   template <class Archive>
   void exchangeState(Archive& archive) {
-    archive(strayFailures_);
+    archive(randomFailureShare_);
   }
 
  private:
   bool isUnresponsive(const Server& server, Time now) const;
-  void noteStray(double failed);
+  void noteHealthyAttempt(double failed);
 
   const LatencyModel& latency_;
-  std::map<unsigned, double> kinds_;  // latency ratio of each kind of server
-  double strayFailures_ = 0;          // share of attempts that fail at servers that are healthy
+  std::map<unsigned, double> latencyRatioByKind_;  // mean latency ratio by kind of server
+  double randomFailureShare_ = 0;                  // share of attempts that fail at healthy servers
 };
 
 }  // namespace lilacmux::decision
--- a/src/decision/pending_request.hpp
+++ b/src/decision/pending_request.hpp
@@ -1,4 +1,4 @@
-// A request that has no final answer yet, and its attempts.
+// A request without a final answer yet, and its attempts.
 #pragma once
 
 #include <vector>
@@ -10,17 +10,18 @@
 struct PendingRequest {
   EngineRequest request;
   Time arrived = 0;
-  unsigned attempts = 0;  // sent so far
+  unsigned attempts = 0;  // attempts sent so far
   bool attemptInFlight = false;
-  bool mayHaveRun = false;  // some attempt may have run
-  // Of the first that may have: its zone, cell and time bind repeats of a keyed request.
-  unsigned ranZone = 0, ranCell = 0;
-  Time ranSince = 0;
-  Time sentAt = 0;  // the last attempt
-  std::vector<ServerId> tried;
+  bool mayHaveRun = false;  // at least one attempt may have run
+  // Zone, cell and send time of the first attempt that may have run. They restrict retries of a keyed
+  // request.
+  unsigned mayHaveRunZone = 0, mayHaveRunCell = 0;
+  Time mayHaveRunSince = 0;
+  Time sentAt = 0;  // send time of the last attempt
+  std::vector<ServerId> triedServers;
 };
 
-// An attempt in flight; it may outlive its request.
+// An attempt in flight. It may outlive its request.
 struct Attempt {
   TenantId tenant = 0;
   unsigned classIndex = 0;
--- a/src/decision/quota_admission.cpp
+++ b/src/decision/quota_admission.cpp
@@ -9,9 +9,9 @@
 namespace lilacmux::decision {
 namespace {
 
-// Ms, time constant of how often no server is found.
+// Ms, time constant of the share of requests without a server.
 constexpr Time kPressureTau = 4000;
-// Higher: nothing is admitted on a doubtful estimate.
+// Upper bound of that share. Above it, uncertain estimates would admit nothing.
 constexpr double kMaxPressure = 0.8;
 
 }  // namespace
@@ -30,19 +30,20 @@
   const double units = std::max(0.0, request.units);
   if (plan.hardLimitRate > 0 && tenant.hardLimitTokens < units)
     return 1000 * (units - tenant.hardLimitTokens) * tenant.gatewaySetSize / plan.hardLimitRate;
-  const double want = std::min(units, plan.burst);
-  tenant.usualUnits = decayToward(tenant.usualUnits, units, 1, kSizeTau);
-  if (plan.rate > 0 && tenant.tokens < want) return 1000 * (want - tenant.tokens) / plan.rate;
-  if (plan.maxInFlight > 0 && !cap_.hasRoom(tenant, request)) return latency_.usual(request.classIndex);
+  const double requiredTokens = std::min(units, plan.burst);
+  tenant.averageUnits = decayToward(tenant.averageUnits, units, 1, kRequestAverageTau);
+  if (plan.rate > 0 && tenant.tokens < requiredTokens)
+    return 1000 * (requiredTokens - tenant.tokens) / plan.rate;
+  if (plan.maxInFlight > 0 && !cap_.hasRoom(tenant, request)) return latency_.baseline(request.classIndex);
   QuotaEstimate::addDemand(tenant, units, 0);
-  const bool empty =
-      plan.rate > 0 && (estimate_.isSeldom(tenant) || estimate_.isEmpty(tenant, want, pressure_));
-  tenant.admitSlots[slotIndex(tenant.slot)] = static_cast<float>(empty ? tenant.admitFraction : 1);
-  // The fraction times the demand is the rate: what it lets in here is this gateway's share of the rate,
-  // measured out over time, so that a demand misjudged by some gateways does not add up past the quota.
-  if (empty && tenant.credit < units)
+  const bool isEmpty = plan.rate > 0 && (estimate_.hasRareRequests(tenant) ||
+                                         estimate_.isGlobalBucketEmpty(tenant, requiredTokens, pressure_));
+  tenant.admitFractionSlots[slotIndex(tenant.slot)] = static_cast<float>(isEmpty ? tenant.admitFraction : 1);
+  // Demand times admit fraction is the rate, so this gateway admits its share of the rate, spread over time.
+  // A demand that some gateways misjudge then does not add up to more than the quota.
+  if (isEmpty && tenant.credit < units)
     return 1000 * (units - tenant.credit) / (plan.rate * estimate_.share(tenant));
-  if (empty) tenant.credit -= units;
+  if (isEmpty) tenant.credit -= units;
   return std::nullopt;
 }
 
@@ -59,26 +60,28 @@
 void QuotaAdmission::noteReading(Tenant& tenant, Time now, int percent) {
   meter_.noteReading(tenant, now, percent);
   if (!meter_.isNew(tenant, now, percent)) return;
-  const Time since = now - tenant.readingAt;
-  tenant.readingGap = tenant.reading < 0 ? since : decayToward(tenant.readingGap, since, 1, 3);
+  const Time interval = now - tenant.readingAt;
+  tenant.readingInterval =
+      tenant.reading < 0 ? interval : decayToward(tenant.readingInterval, interval, 1, 3);
   tenant.reading = percent;
   tenant.readingAt = now;
   estimate_.advance(tenant, now);
   const PlanSettings& plan = settings_.plans[tenant.plan];
-  const long out = meter_.publishedSlot(now);
-  if (plan.rate <= 0) return cap_.notePeak(tenant, out - meter_.lag(), percent / 100.0 * plan.maxInFlight);
+  const long publishedSlot = meter_.publishedSlot(now);
+  if (plan.rate <= 0)
+    return cap_.notePeak(tenant, publishedSlot - meter_.lag(), percent / 100.0 * plan.maxInFlight);
   const double metered = percent / 100.0 * plan.rate * settings_.meterPeriod / 1000;
-  meter_.learnLag(tenant, out, metered);
-  estimate_.noteMetered(tenant, now, out - meter_.lag(), metered);
+  meter_.learnLag(tenant, publishedSlot, metered);
+  estimate_.noteMetered(tenant, now, publishedSlot - meter_.lag(), metered);
 }
 
 void QuotaAdmission::adopt(Tenant tenant, Time now) {
   if (tenant.plan >= settings_.plans.size() || tenants_.find(tenant.id)) return;
   Time longest = 0;
   for (unsigned classIndex = 0; classIndex < settings_.classes.size(); ++classIndex)
-    longest = std::max(longest, latency_.usual(classIndex));
-  tenant.inFlightBefore = std::exchange(tenant.inFlight, 0);
-  tenant.inFlightBeforeUntil = now + 2 * longest;
+    longest = std::max(longest, latency_.baseline(classIndex));
+  tenant.previousInFlight = std::exchange(tenant.inFlight, 0);
+  tenant.previousInFlightUntil = now + 2 * longest;
   tenants_.adopt(tenant);
 }
 
--- a/src/decision/quota_admission.hpp
+++ b/src/decision/quota_admission.hpp
@@ -15,33 +15,33 @@
 
 namespace lilacmux::decision {
 
-// Decides whether a tenant's request may be sent at all, and keeps the tenants' accounts: what was sent, what
-// is in flight and what the meter reports.
+// Decides whether a tenant's request may be sent, and keeps the tenants' accounts: units sent, attempts in
+// flight and metered readings.
 class QuotaAdmission {
  public:
-  // All must outlive the object.
+  // All arguments must outlive the object.
   QuotaAdmission(const EngineSettings& settings, const LatencyModel& latency, Random& random, Time now);
 
-  // The request's tenant; valid until the next call.
+  // Returns the request's tenant. The reference is valid until the next call.
   Tenant& lookUp(Time now, const EngineRequest& request) { return tenants_.lookUp(now, request); }
   Tenant* find(TenantId id) { return tenants_.find(id); }
 
-  // Nothing: admitted. Else the ms after which the tenant may find room.
+  // Returns nothing if the request is admitted, else the ms after which the tenant may be admitted.
   std::optional<Time> admit(Tenant& tenant, const EngineRequest& request);
-  // Whether a server was found for an admitted request.
+  // Records whether a server was found for an admitted request.
   void noteSelection(Time now, bool found);
   static void debit(Tenant& tenant, double units) { QuotaEstimate::debit(tenant, units); }
   void refund(Tenant& tenant, Time now, double units) { estimate_.refund(tenant, now, units); }
-  // An attempt was sent (1) or has ended (-1).
+  // An attempt was sent (change 1) or has ended (change -1).
   void noteInFlight(Tenant& tenant, Time now, int change);
-  // An answer brought a reading of the meter, in percent of the quota, or none.
+  // Records a response's metered reading, in percent of the quota, or its absence.
   void noteReading(Tenant& tenant, Time now, int percent);
   void noteNoReading(Time now) { meter_.noteNoReading(now); }
 
   TenantTable& tenants() { return tenants_; }
   const TenantTable& tenants() const { return tenants_; }
   void advance(Tenant& tenant, Time now) { estimate_.advance(tenant, now); }
-  // Takes over what the process before this one knew of a tenant and still had in flight of it.
+  // Takes over a tenant's state from the previous process, including its attempts in flight.
   void adopt(Tenant tenant, Time now);
 
   Meter& meter() { return meter_; }
@@ -57,7 +57,7 @@
   QuotaEstimate estimate_;
   ConcurrencyCap cap_;
   TenantTable tenants_;
-  double pressure_ = 0;  // share of admitted requests that find no server
+  double pressure_ = 0;  // share of admitted requests without a server
   Time pressureAt_ = 0;
 };
 
--- a/src/decision/quota_estimate.cpp
+++ b/src/decision/quota_estimate.cpp
@@ -9,122 +9,138 @@
 namespace lilacmux::decision {
 namespace {
 
-// The admit fraction recovers in no fewer usual gaps between readings, where they come rarely.
-constexpr double kRecoveryGaps = 3;
-// Ms, time constant of the usual demand; shorter: gateways swing.
-constexpr Time kUsualDemandTau = 60000;
-// Requests that an assumed demand counts for; higher: news is believed late.
-constexpr double kDemandDoubt = 0.5;
-// Demand of a tenant that nothing is known of, as a share of its rate.
-constexpr double kInitialDemand = 1;
-// Requests that a share of 1/setSize counts for; lower: one request is news.
-constexpr double kShareDoubt = 4;
-// Ms, time constant of the share; longer: slow after traffic moves.
+// The admit fraction needs at least this many average intervals between readings to recover, where readings
+// are rare.
+constexpr double kMinRecoveryIntervals = 3;
+// Ms, time constant of the long-term demand. With a shorter one, gateways oscillate.
+constexpr Time kLongTermDemandTau = 60000;
+// Weight of an assumed demand, in requests. At a higher weight, new observations are adopted late.
+constexpr double kAssumedDemandWeight = 0.5;
+// Assumed demand of an unknown tenant, as a share of its rate.
+constexpr double kAssumedDemandShare = 1;
+// Weight, in requests, of the assumption that this gateway's share is 1/gatewaySetSize. At a lower weight, a
+// single request changes the share noticeably.
+constexpr double kAssumedShareWeight = 4;
+// Ms, time constant of the share. With a longer one, the share follows traffic shifts slowly.
 constexpr Time kShareTau = 10000;
-// The scale of a normal distribution over that of the logistic one that stands for it.
+// Scale of a normal distribution relative to the logistic distribution that approximates it.
 constexpr double kLogisticScale = 1.7;
-// Usual requests that a gateway's part of the rate saves up while the global bucket is empty.
-constexpr double kMaxCredit = 1.5;
-// Standard deviations kept from the estimate; higher: rejects with room; lower: goes past the quota.
-constexpr double kCaution = 1;
-// Ms that one request's part of the rate takes for isSeldom; shorter: full buckets are missed.
-constexpr Time kSeldomSpan = 20000;
-// Share of first requests admitted then; higher: all gateways together go past the quota.
-constexpr double kFirstAdmitted = 0.6;
-// What the admit fraction aims at, as a share of the rate.
-constexpr double kTargetUse = 0.6;
-// Metered periods of the rate that the estimate may owe; 0: noise only ever adds room.
-constexpr double kMaxDebt = 0.5;
+// Upper bound of a gateway's unused credit, in average requests, while the global bucket is empty.
+constexpr double kMaxCreditRequests = 1.5;
+// Safety margin of the estimate, in standard deviations. Higher values reject requests although tokens are
+// left, lower ones exceed the quota.
+constexpr double kSafetyDeviations = 1;
+// Requests are rare if this gateway's share of the rate needs more than this time, in ms, for one. With a
+// shorter time, full buckets are missed.
+constexpr Time kRareRequestInterval = 20000;
+// Share of first requests admitted if requests are rare. At a higher share, all gateways together exceed the
+// quota.
+constexpr double kFirstRequestAdmitShare = 0.6;
+// Target of the admitted use, as a share of the rate.
+constexpr double kTargetUseShare = 0.6;
+// Upper bound of the global bucket's debt, in metered periods of the rate. At 0, noise could only add tokens.
+constexpr double kMaxDebtPeriods = 0.5;
 
 }  // namespace
 
-double QuotaEstimate::debt(const PlanSettings& plan) const {
-  return kMaxDebt * plan.rate * settings_.meterPeriod / 1000;
+double QuotaEstimate::maxDebt(const PlanSettings& plan) const {
+  return kMaxDebtPeriods * plan.rate * settings_.meterPeriod / 1000;
 }
 
 double QuotaEstimate::share(const Tenant& tenant) const {
-  const double doubt = kShareDoubt * tenant.usualUnits + 1e-9;
-  return std::min(1.0, (tenant.ownUse + doubt / tenant.gatewaySetSize) / (tenant.allUse + doubt));
+  const double weight = kAssumedShareWeight * tenant.averageUnits + 1e-9;
+  return std::min(1.0, (tenant.ownUse + weight / tenant.gatewaySetSize) / (tenant.totalUse + weight));
 }
 
-// All gateways' demand in units a second: what is seen lately against what is usual, and that against what
-// nothing is known of, each by its weight.
+// Returns the demand at all gateways in units per second: the weighted combination of recent demand,
+// long-term demand and the assumed demand of an unknown tenant.
 double QuotaEstimate::demand(const Tenant& tenant) const {
-  const double doubt = kDemandDoubt * tenant.usualUnits;
-  const double assumed = std::max(1e-6, kInitialDemand * settings_.plans[tenant.plan].rate);
-  const double usual = (tenant.usualDemandUnits + doubt) / (tenant.usualDemandTime + doubt / assumed);
-  return (tenant.recentUnits + doubt) / (tenant.recentTime + doubt / usual);
+  const double weight = kAssumedDemandWeight * tenant.averageUnits;
+  const double assumedRate = std::max(1e-6, kAssumedDemandShare * settings_.plans[tenant.plan].rate);
+  const double longTerm =
+      (tenant.longTermDemandUnits + weight) / (tenant.longTermDemandTime + weight / assumedRate);
+  return (tenant.recentDemandUnits + weight) / (tenant.recentDemandTime + weight / longTerm);
 }
 
-// What the other gateways take from the global bucket in units a second.
-double QuotaEstimate::othersUse(const Tenant& tenant) const {
-  return demand(tenant) * (1 - share(tenant)) * tenant.admitSlots[slotIndex(tenant.slot)];
+// Returns the rate, in units per second, at which the other gateways take tokens from the global bucket.
+double QuotaEstimate::othersRate(const Tenant& tenant) const {
+  return demand(tenant) * (1 - share(tenant)) * tenant.admitFractionSlots[slotIndex(tenant.slot)];
 }
 
-// What the others are estimated to take within a time from a bucket of so many tokens. They keep to the same
-// quota: what is empty gives them their part of the rate and no more, whatever is asked of them.
-double QuotaEstimate::othersTake(const Tenant& tenant, double tokens, double seconds) const {
-  const double most =
+// Returns the estimate of the units that the other gateways take within a time from a bucket with this many
+// tokens. They keep to the same quota: from an empty bucket, they take no more than their share of the rate,
+// whatever the demand.
+double QuotaEstimate::estimateOthersUnits(const Tenant& tenant, double tokens, double seconds) const {
+  const double available =
       std::max(0.0, tokens) + settings_.plans[tenant.plan].rate * (1 - share(tenant)) * seconds;
-  return std::min(othersUse(tenant) * seconds, most);
+  return std::min(othersRate(tenant) * seconds, available);
 }
 
 void QuotaEstimate::addDemand(Tenant& tenant, double units, double seconds) {
-  tenant.recentUnits += units, tenant.usualDemandUnits += units;
-  tenant.recentTime += seconds, tenant.usualDemandTime += seconds;
+  tenant.recentDemandUnits += units, tenant.longTermDemandUnits += units;
+  tenant.recentDemandTime += seconds, tenant.longTermDemandTime += seconds;
 }
 
 void QuotaEstimate::advance(Tenant& tenant, Time now) const {
   const PlanSettings& plan = settings_.plans[tenant.plan];
-  const Time span = std::max(0.0, now - tenant.updatedAt);
-  const double dt = span / 1000;
+  const Time elapsed = std::max(0.0, now - tenant.updatedAt);
+  const double dt = elapsed / 1000;
   tenant.tokens = refilled(tenant.tokens, plan.rate, plan.burst, dt);
-  const double taken = othersTake(tenant, tenant.globalTokens, dt);
-  tenant.globalTokens = refilled(tenant.globalTokens - taken, plan.rate, plan.burst, dt);
+  const double othersUnits = estimateOthersUnits(tenant, tenant.globalTokens, dt);
+  tenant.globalTokens = refilled(tenant.globalTokens - othersUnits, plan.rate, plan.burst, dt);
   tenant.hardLimitTokens = std::min(plan.hardLimitBurst / tenant.gatewaySetSize,
                                     tenant.hardLimitTokens + plan.hardLimitRate * dt / tenant.gatewaySetSize);
-  const double keepNews = std::exp(-span / kRecentDemandTau), keep = std::exp(-span / kUsualDemandTau);
-  tenant.recentUnits *= keepNews, tenant.recentTime = tenant.recentTime * keepNews + share(tenant) * dt;
-  tenant.usualDemandUnits *= keep,
-      tenant.usualDemandTime = tenant.usualDemandTime * keep + share(tenant) * dt;
-  const double keepAsked = std::exp(-span / kRequestedLoadTau);
-  tenant.requestedLoad *= keepAsked, tenant.requestedSpan = tenant.requestedSpan * keepAsked + span;
-  const double keepShare = std::exp(-span / kShareTau);
-  tenant.ownUse *= keepShare, tenant.allUse *= keepShare;
-  if (now - tenant.readingAt > 2 * settings_.meterPeriod)  // a gateway that lets nothing in gets no readings
-    tenant.admitFraction =
-        recovered(tenant.admitFraction, span, std::max(kRecoverySpan, kRecoveryGaps * tenant.readingGap));
-  tenant.credit = std::min(kMaxCredit * tenant.usualUnits, tenant.credit + plan.rate * share(tenant) * dt);
-  touchSlot(tenant, now, taken);
+  const double recentDecay = std::exp(-elapsed / kRecentDemandTau),
+               longTermDecay = std::exp(-elapsed / kLongTermDemandTau);
+  tenant.recentDemandUnits *= recentDecay,
+      tenant.recentDemandTime = tenant.recentDemandTime * recentDecay + share(tenant) * dt;
+  tenant.longTermDemandUnits *= longTermDecay,
+      tenant.longTermDemandTime = tenant.longTermDemandTime * longTermDecay + share(tenant) * dt;
+  const double requestedLoadDecay = std::exp(-elapsed / kRequestedLoadTau);
+  tenant.requestedLoad *= requestedLoadDecay,
+      tenant.requestedTime = tenant.requestedTime * requestedLoadDecay + elapsed;
+  const double shareDecay = std::exp(-elapsed / kShareTau);
+  tenant.ownUse *= shareDecay, tenant.totalUse *= shareDecay;
+  // A gateway that admits nothing receives no readings.
+  if (now - tenant.readingAt > 2 * settings_.meterPeriod)
+    tenant.admitFraction = recovered(tenant.admitFraction, elapsed,
+                                     std::max(kRecoveryTime, kMinRecoveryIntervals * tenant.readingInterval));
+  tenant.credit =
+      std::min(kMaxCreditRequests * tenant.averageUnits, tenant.credit + plan.rate * share(tenant) * dt);
+  advanceSlot(tenant, now, othersUnits);
   tenant.updatedAt = std::max(tenant.updatedAt, now);
 }
 
-// Whether a gateway's even part of the burst is less than a request and that of the rate brings one in a
-// long time only. Until a reading comes, the gateway knows nothing of the global bucket: each that took it
-// for full would let in a tenant's first try, and all together many times the burst. Most of a light tenant's
-// tries are the first at their gateway, a heavy one's are not, so a part of the first is let in, and the
-// others as the rate brings them in. Hurts a light tenant that keeps coming to one gateway.
-bool QuotaEstimate::isSeldom(const Tenant& tenant) const {
+// Whether this gateway's even share of the burst is less than one request and its share of the rate takes a
+// long time to earn one. Until the first reading, the gateway knows nothing about the global bucket. If each
+// gateway assumed a full bucket, each would admit the tenant's first request, and all together many times the
+// burst. Most requests of a light tenant are the first at their gateway and most of a heavy tenant are not,
+// so part of the first requests is admitted, and later ones at the gateway's share of the rate. This works
+// poorly for a light tenant whose requests keep coming to one gateway.
+bool QuotaEstimate::hasRareRequests(const Tenant& tenant) const {
   const PlanSettings& plan = settings_.plans[tenant.plan];
-  const double toAll = tenant.usualUnits * tenant.gatewaySetSize;
-  return tenant.reading < 0 && plan.rate > 0 && plan.burst < toAll && 1000 * toAll / plan.rate > kSeldomSpan;
+  const double unitsForAll = tenant.averageUnits * tenant.gatewaySetSize;
+  return tenant.reading < 0 && plan.rate > 0 && plan.burst < unitsForAll &&
+         1000 * unitsForAll / plan.rate > kRareRequestInterval;
 }
 
-// Whether a try would more likely than pays find the global bucket without its units: the estimate against
-// what is not known of it, at the plan's own price of being wrong.
-bool QuotaEstimate::isEmpty(const Tenant& tenant, double want, double pressure) const {
+// Whether admitting the request probably costs more than it earns, because the global bucket lacks its units:
+// compares the estimate and its uncertainty with the plan's price of a wrong admission.
+bool QuotaEstimate::isGlobalBucketEmpty(const Tenant& tenant, double requiredTokens, double pressure) const {
   const PlanSettings& plan = settings_.plans[tenant.plan];
   const double price = (plan.overQuotaCost - plan.overQuotaWeight + pressure) / (1 - pressure);
   if (price <= 0) return false;
-  // Own sends are known; what the others have sent since the last reading's period is not.
+  // Own sends are known; the other gateways' sends since the end of the last metered period are not.
   const double age = std::min((tenant.updatedAt - tenant.meteredUntil) / 1000, plan.burst / plan.rate);
-  const double doubt =
-      std::sqrt(std::min(demand(tenant), plan.rate) * (1 - share(tenant)) * tenant.usualUnits * age);
-  return tenant.globalTokens < want + (std::log(price) / kLogisticScale + kCaution) * doubt;
+  const double deviation =
+      std::sqrt(std::min(demand(tenant), plan.rate) * (1 - share(tenant)) * tenant.averageUnits * age);
+  return tenant.globalTokens <
+         requiredTokens + (std::log(price) / kLogisticScale + kSafetyDeviations) * deviation;
 }
 
-double QuotaEstimate::startingCredit(const Tenant& tenant, double chance) const {
-  return std::min(kMaxCredit, chance + (isSeldom(tenant) ? kFirstAdmitted : 0)) * tenant.usualUnits;
+double QuotaEstimate::startingCredit(const Tenant& tenant, double randomValue) const {
+  return std::min(kMaxCreditRequests, randomValue + (hasRareRequests(tenant) ? kFirstRequestAdmitShare : 0)) *
+         tenant.averageUnits;
 }
 
 void QuotaEstimate::debit(Tenant& tenant, double units) {
@@ -141,60 +157,62 @@
   tenant.globalTokens = std::min(plan.burst, tenant.globalTokens + units);
 }
 
-// Moves on to the slot of now; `taken` is spread over those that have passed.
-void QuotaEstimate::touchSlot(Tenant& tenant, Time now, double taken) const {
-  const long to = meter_.slotAt(now), passed = std::max(0L, to - tenant.slot);
-  const auto each = static_cast<float>(taken / static_cast<double>(passed + 1));
+// Advances to the slot of `now`, and spreads `othersUnits` evenly over the slots that have passed.
+void QuotaEstimate::advanceSlot(Tenant& tenant, Time now, double othersUnits) const {
+  const long endSlot = meter_.slotAt(now), passed = std::max(0L, endSlot - tenant.slot);
+  const auto unitsPerSlot = static_cast<float>(othersUnits / static_cast<double>(passed + 1));
   const std::size_t from = slotIndex(tenant.slot);
-  tenant.othersSlots[from] += each;
-  for (tenant.slot = std::max(tenant.slot, to - kSlots); tenant.slot < to;) {
-    const std::size_t next = slotIndex(++tenant.slot);
-    tenant.sentSlots[next] = 0, tenant.othersSlots[next] = each,
-    tenant.admitSlots[next] = tenant.admitSlots[from];
+  tenant.othersSlots[from] += unitsPerSlot;
+  for (tenant.slot = std::max(tenant.slot, endSlot - kSlots); tenant.slot < endSlot;) {
+    const std::size_t nextSlot = slotIndex(++tenant.slot);
+    tenant.sentSlots[nextSlot] = 0, tenant.othersSlots[nextSlot] = unitsPerSlot,
+    tenant.admitFractionSlots[nextSlot] = tenant.admitFractionSlots[from];
   }
 }
 
-// The share over the time that no reading has told of, by the use of the period that one has. Readings come
-// with answers: a gateway that sends rarely would else count its part by periods in which it has never
-// sent.
-void QuotaEstimate::noteShare(Tenant& tenant, long to, double metered) const {
-  const double known = std::max({tenant.meteredUntil, tenant.createdAt,
-                                 static_cast<double>(tenant.slot - kSlots + 1) * meter_.slotLength()});
+// Updates the share for the time that no reading has covered, by the use in the period of this reading.
+// Readings come with responses, so a gateway that sends rarely would otherwise compute its share only from
+// periods in which it sent nothing.
+void QuotaEstimate::noteShare(Tenant& tenant, long endSlot, double metered) const {
+  const double knownUntil = std::max({tenant.meteredUntil, tenant.createdAt,
+                                      static_cast<double>(tenant.slot - kSlots + 1) * meter_.slotLength()});
   double own = 0;
-  const long from = meter_.slotAt(known);
-  for (long i = from; i < to; ++i) own += tenant.sentSlots[slotIndex(i)];
-  if (from >= to) return;
+  const long from = meter_.slotAt(knownUntil);
+  for (long i = from; i < endSlot; ++i) own += tenant.sentSlots[slotIndex(i)];
+  if (from >= endSlot) return;
   tenant.ownUse += own;
-  tenant.allUse += std::max(own, metered * static_cast<double>(to - from) / kPeriodSlots);
+  tenant.totalUse += std::max(own, metered * static_cast<double>(endSlot - from) / kPeriodSlots);
 }
 
-// What the estimate took for the metered period gives way to what was metered, and the time since then to
-// the use as it is now known. The slots keep what has been put in, so that periods that follow one another,
-// overlap or are told anew leave no remainder: one that stays counts until the bucket is full, which it
-// never is where a tenant asks for more than its rate.
+// Replaces the estimated use in the metered period by the metered use, and the use since then by an estimate
+// from the updated demand. The slots record what was deducted, so consecutive, overlapping or repeated
+// periods leave no remainder. A remainder would persist until the bucket is full, which never happens while a
+// tenant's demand exceeds its rate.
 void QuotaEstimate::noteMetered(Tenant& tenant, Time now, long end, double metered) const {
   const PlanSettings& plan = settings_.plans[tenant.plan];
-  const double own = overPeriod(tenant.sentSlots, end),
-               in = overPeriod(tenant.admitSlots, end) / kPeriodSlots;
+  const double own = sumOverPeriod(tenant.sentSlots, end),
+               admitted = sumOverPeriod(tenant.admitFractionSlots, end) / kPeriodSlots;
   const double others = std::max(0.0, metered - own);
   noteShare(tenant, end - kPeriodSlots, metered);
-  tenant.ownUse += own, tenant.allUse += own + others;
-  addDemand(tenant, others, settings_.meterPeriod / 1000 * (1 - share(tenant)) * in);
-  // The reading tells what the fraction of its own period let in, whatever the fraction is by now.
-  tenant.admitFraction = std::clamp(kTargetUse * plan.rate / demand(tenant), kMinAdmitFraction, 1.0);
-  double sent = 0;  // since then
+  tenant.ownUse += own, tenant.totalUse += own + others;
+  addDemand(tenant, others, settings_.meterPeriod / 1000 * (1 - share(tenant)) * admitted);
+  // The reading reflects the admit fraction of its own period, not the current one.
+  tenant.admitFraction = std::clamp(kTargetUseShare * plan.rate / demand(tenant), kMinAdmitFraction, 1.0);
+  double sentSince = 0;  // units sent since the end of the metered period
   for (long i = end - kPeriodSlots; i <= tenant.slot; ++i) {
-    const double put = i < end ? others / kPeriodSlots : 0;
-    tenant.globalTokens += tenant.othersSlots[slotIndex(i)] - put;
-    tenant.othersSlots[slotIndex(i)] = static_cast<float>(put);
-    if (i >= end) sent += tenant.sentSlots[slotIndex(i)];
+    const double deducted = i < end ? others / kPeriodSlots : 0;
+    tenant.globalTokens += tenant.othersSlots[slotIndex(i)] - deducted;
+    tenant.othersSlots[slotIndex(i)] = static_cast<float>(deducted);
+    if (i >= end) sentSince += tenant.sentSlots[slotIndex(i)];
   }
   tenant.meteredUntil = static_cast<double>(end) * meter_.slotLength();
   const double seconds = std::max(0.0, now - std::max(tenant.meteredUntil, tenant.createdAt)) / 1000;
-  const double taken = othersTake(tenant, tenant.globalTokens + sent - plan.rate * seconds, seconds);
+  const double othersUnits =
+      estimateOthersUnits(tenant, tenant.globalTokens + sentSince - plan.rate * seconds, seconds);
   for (long i = end; i <= tenant.slot; ++i)
-    tenant.othersSlots[slotIndex(i)] = static_cast<float>(taken / static_cast<double>(tenant.slot - end + 1));
-  tenant.globalTokens = std::clamp(tenant.globalTokens - taken, -debt(plan), plan.burst);
+    tenant.othersSlots[slotIndex(i)] =
+        static_cast<float>(othersUnits / static_cast<double>(tenant.slot - end + 1));
+  tenant.globalTokens = std::clamp(tenant.globalTokens - othersUnits, -maxDebt(plan), plan.burst);
 }
 
 }  // namespace lilacmux::decision
--- a/src/decision/quota_estimate.hpp
+++ b/src/decision/quota_estimate.hpp
@@ -1,4 +1,4 @@
-// Token buckets of tenants, and the estimate of what all gateways together have used of a quota.
+// Token buckets of tenants, and an estimate of the use of a quota by all gateways together.
 #pragma once
 
 #include "decision/meter.hpp"
@@ -7,40 +7,43 @@
 
 namespace lilacmux::decision {
 
-// Carries a tenant's token buckets forward in time, and estimates from own sends and metered readings what
-// the other gateways use: the tenant's demand, this gateway's share of it, what is left in the global bucket,
-// and the admit fraction that holds all gateways together to the quota. Keeps no state of its own.
+// Advances a tenant's token buckets in time. From own sends and metered readings, estimates the other
+// gateways' use: the tenant's demand, this gateway's share of it, the tokens left in the global bucket, and
+// the admit fraction that keeps all gateways together within the quota. Stateless.
 class QuotaEstimate {
  public:
-  // Both must outlive the estimate.
+  // Both arguments must outlive the estimate.
   QuotaEstimate(const EngineSettings& settings, const Meter& meter) : settings_(settings), meter_(meter) {}
 
-  // Carries all that is kept of the tenant forward to `now`.
+  // Advances the tenant's time-dependent state to `now`.
   void advance(Tenant& tenant, Time now) const;
-  // The part of the tenant's use, above 0 and up to 1, that this gateway sends.
+  // Returns the share of the tenant's use, above 0 and up to 1, that this gateway sends.
   double share(const Tenant& tenant) const;
-  // Tenant::credit of a new tenant, in units; chance: a random number, at least 0 and below 1.
-  double startingCredit(const Tenant& tenant, double chance) const;
-  // Demand that has been seen: so many units, standing for so many seconds.
+  // Returns the initial Tenant::credit of a new tenant, in units. randomValue: a random number, at least 0
+  // and below 1.
+  double startingCredit(const Tenant& tenant, double randomValue) const;
+  // Adds observed demand: `units` over a time of `seconds`.
   static void addDemand(Tenant& tenant, double units, double seconds);
-  // Whether the tenant's quota is too small for this gateway to be sure of one request in a long time.
-  bool isSeldom(const Tenant& tenant) const;
-  // Whether the global bucket is to be taken for empty, for a request of `want` units. pressure: share of
-  // admitted requests, below 1, that find no server.
-  bool isEmpty(const Tenant& tenant, double want, double pressure) const;
-  // A request of so many units was admitted, or so many of its units were given back.
+  // Whether the tenant's quota is so small that this gateway's share of it allows one request only in a long
+  // time.
+  bool hasRareRequests(const Tenant& tenant) const;
+  // Whether the global bucket probably lacks the tokens for a request of `requiredTokens` units. pressure:
+  // share of admitted requests, below 1, for which no server is found.
+  bool isGlobalBucketEmpty(const Tenant& tenant, double requiredTokens, double pressure) const;
+  // Takes the units of an admitted request from the buckets, or returns units to them.
   static void debit(Tenant& tenant, double units);
   void refund(Tenant& tenant, Time now, double units) const;
-  // A reading: so many units by all gateways in the period that ends before slot `end`.
+  // Records a reading: `metered` units used by all gateways in the metered period that ends before slot
+  // `end`.
   void noteMetered(Tenant& tenant, Time now, long end, double metered) const;
 
  private:
   double demand(const Tenant& tenant) const;
-  double othersUse(const Tenant& tenant) const;
-  double othersTake(const Tenant& tenant, double tokens, double seconds) const;
-  double debt(const PlanSettings& plan) const;
-  void touchSlot(Tenant& tenant, Time now, double taken) const;
-  void noteShare(Tenant& tenant, long to, double metered) const;
+  double othersRate(const Tenant& tenant) const;
+  double estimateOthersUnits(const Tenant& tenant, double tokens, double seconds) const;
+  double maxDebt(const PlanSettings& plan) const;
+  void advanceSlot(Tenant& tenant, Time now, double taken) const;
+  void noteShare(Tenant& tenant, long endSlot, double metered) const;
 
   const EngineSettings& settings_;
   const Meter& meter_;
--- a/src/decision/random.hpp
+++ b/src/decision/random.hpp
@@ -5,13 +5,13 @@
 
 namespace lilacmux::decision {
 
-// Pseudorandom numbers by splitmix64: the same sequence with every standard library. All parts of an engine
-// draw from one generator, so the order of the draws is part of what the engine does.
+// Pseudorandom number generator (splitmix64), with the same sequence in every standard library. All
+// components of an engine draw from one generator, so the order of the draws affects the engine's actions.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
 
-  // The next number, at least 0 and below 1.
+  // Returns the next number, at least 0 and below 1.
   double next() {
     std::uint64_t z = (state_ += 0x9e3779b97f4a7c15ULL);
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
--- a/src/decision/retry_policy.hpp
+++ b/src/decision/retry_policy.hpp
@@ -1,4 +1,4 @@
-// Whether and how an attempt is followed by another.
+// Retry policy of a gateway.
 #pragma once
 
 #include "decision/latency_model.hpp"
@@ -7,18 +7,19 @@
 
 namespace lilacmux::decision {
 
-// Decides by a request's class, its earlier attempts and the retry budget of this gateway.
+// Decides on retries by a request's class, its earlier attempts and the retry budget of this gateway.
 class RetryPolicy {
  public:
-  // Both must outlive the policy.
+  // Both arguments must outlive the policy.
   RetryPolicy(const EngineSettings& settings, const LatencyModel& latency);
 
-  // Ms after which the request's next attempt is given up early, so that another can follow; 0: not early.
+  // Returns the ms after which the request's next attempt times out early, to leave time for a retry; 0: no
+  // early time-out.
   Time attemptTimeout(Time now, const PendingRequest& pending) const;
-  // Whether the request's class and the time that is left allow another attempt.
+  // Whether the request's class and remaining time allow another attempt.
   bool mayRetry(Time now, const PendingRequest& pending) const;
   // Whether the client may safely send the request again.
-  bool isHarmless(const PendingRequest& pending) const;
+  bool isSafeToResend(const PendingRequest& pending) const;
   void noteResult(AttemptResult result);
 
   template <class Archive>
@@ -31,7 +32,7 @@
 
   const EngineSettings& settings_;
   const LatencyModel& latency_;
-  double budget_;  // the retry budget: early time-outs, and repeats after them, that are left
+  double budget_;  // retry budget: remaining early time-outs and retries after them
 };
 
 }  // namespace lilacmux::decision
--- a/src/decision/server_pool.cpp
+++ b/src/decision/server_pool.cpp
@@ -14,9 +14,9 @@
     if (!server) {
       servers_.emplace_back();
       server = &servers_.back();
-      begin(*server, now);
-    } else if (entry.startedAt != server->listed.startedAt) {  // restarted: what was learned is void
-      renew(*server, now);
+      initialize(*server, now);
+    } else if (entry.startedAt != server->listed.startedAt) {  // restarted: its learned state is void
+      reset(*server, now);
     }
     server->listed = entry;
   }
@@ -35,18 +35,18 @@
   if (found == suspended_.end()) return;
   resumed_[id] = {found->second, now};
   suspended_.erase(found);
-  if (Server* server = find(id)) renew(*server, now);
+  if (Server* server = find(id)) reset(*server, now);
 }
 
-// What is in flight at the process before this one is load whose end this one does not see.
-void ServerPool::adopt(Server known, Time now) {
-  Server* mine = find(known.listed.id);
-  if (!mine || mine->listed.startedAt != known.listed.startedAt) return;
-  known.listed = mine->listed;
-  known.othersInFlight = known.inFlight;
-  known.othersAt = now;
-  known.inFlight = mine->inFlight;
-  *mine = known;
+// The previous process's attempts in flight are load whose end this process does not see.
+void ServerPool::adopt(Server previous, Time now) {
+  Server* current = find(previous.listed.id);
+  if (!current || current->listed.startedAt != previous.listed.startedAt) return;
+  previous.listed = current->listed;
+  previous.othersInFlight = previous.inFlight;
+  previous.othersAt = now;
+  previous.inFlight = current->inFlight;
+  *current = previous;
 }
 
 Server* ServerPool::find(ServerId id) {
@@ -55,7 +55,7 @@
   return nullptr;
 }
 
-// Suspended by an operator: as draining, whatever the list says.
+// A suspended server is treated as draining, whatever its listed phase.
 bool ServerPool::isSuspended(const Server& server) const {
   return !suspended_.empty() && suspended_.contains(server.listed.id);
 }
@@ -64,9 +64,9 @@
   return server.listed.phase == ServerPhase::ready && !isSuspended(server);
 }
 
-// When it last became cold. One is restarted while it is left out; until the list reports that start,
-// its return stands for it.
-Time ServerPool::coldSince(const Server& server) const {
+// A server is usually restarted while it is suspended. Until the list reports that start, the end of the
+// suspension counts as the start.
+Time ServerPool::warmUpStart(const Server& server) const {
   if (resumed_.empty()) return server.listed.startedAt;
   const auto found = resumed_.find(server.listed.id);
   if (found == resumed_.end() || server.listed.startedAt >= found->second.suspended)
@@ -74,20 +74,20 @@
   return found->second.resumed;
 }
 
-// The slow-start tokens start at chance, so that gateways alike do not all send at the same moment.
-void ServerPool::begin(Server& server, Time now) {
+// The slow-start tokens begin with a random fraction, to avoid synchronized sends of all gateways.
+void ServerPool::initialize(Server& server, Time now) {
   server.latencyAt = server.othersAt = server.slowStartAt = now;
   server.slowStartTokens = random_.next();
   server.limit = std::max(1.0, kInitialLimit / settings_.gatewayCount);
 }
 
-// Nothing that was learned of it holds any more.
-void ServerPool::renew(Server& server, Time now) {
-  Server anew;
-  anew.inFlight = server.inFlight;
-  anew.listed = server.listed;
-  server = anew;
-  begin(server, now);
+// Resets the learned state, but keeps the list entry and the attempts in flight.
+void ServerPool::reset(Server& server, Time now) {
+  Server fresh;
+  fresh.inFlight = server.inFlight;
+  fresh.listed = server.listed;
+  server = fresh;
+  initialize(server, now);
 }
 
 }  // namespace lilacmux::decision
--- a/src/decision/server_tuning.hpp
+++ b/src/decision/server_tuning.hpp
@@ -1,9 +1,10 @@
-// Tuned values that more than one part of the server code uses.
+// Tuning constants shared by several components of the server code.
 #pragma once
 
 namespace lilacmux::decision {
 
-// Attempts in flight that a server starts with, over all gateways; higher: a start overdrives it.
+// Initial limit of attempts in flight per server, over all gateways. A higher limit overloads servers at the
+// start of a gateway.
 constexpr double kInitialLimit = 12;
 
 }  // namespace lilacmux::decision
--- a/src/decision/settings_check.cpp
+++ b/src/decision/settings_check.cpp
@@ -7,34 +7,36 @@
 namespace lilacmux::decision {
 namespace {
 
-void require(bool holds, const char* what) {
-  if (!holds) throw std::invalid_argument(std::string("settings: ") + what);
+void require(bool condition, const char* what) {
+  if (!condition) throw std::invalid_argument(std::string("settings: ") + what);
 }
 
-bool sane(double value) { return std::isfinite(value) && value >= 0; }
+bool isValidNumber(double value) { return std::isfinite(value) && value >= 0; }
 
 }  // namespace
 
 const EngineSettings& checked(const EngineSettings& settings) {
   require(settings.gatewayCount >= 1 && settings.gatewayIndex < settings.gatewayCount,
-          "gateway number out of range");
+          "gateway index out of range");
   require(!settings.classes.empty(), "no classes");
   require(!settings.plans.empty(), "no plans");
-  require(sane(settings.meterPeriod) && sane(settings.warmUpTime) && sane(settings.drainGracePeriod) &&
-              sane(settings.maxRetryAfter) && sane(settings.initialCapacityShare) &&
-              sane(settings.overloadFactor) && sane(settings.overloadDuration) && sane(settings.maxUnits) &&
-              sane(settings.crossZonePrice) && sane(settings.subscribeWithin),
-          "a figure is negative or not finite");
+  require(isValidNumber(settings.meterPeriod) && isValidNumber(settings.warmUpTime) &&
+              isValidNumber(settings.drainGracePeriod) && isValidNumber(settings.maxRetryAfter) &&
+              isValidNumber(settings.initialCapacityShare) && isValidNumber(settings.overloadFactor) &&
+              isValidNumber(settings.overloadDuration) && isValidNumber(settings.maxUnits) &&
+              isValidNumber(settings.crossZonePrice) && isValidNumber(settings.subscribeWithin),
+          "an engine setting is negative or not finite");
   for (const ClassSettings& requestClass : settings.classes)
-    require(sane(requestClass.latencyTarget) && sane(requestClass.deadline) &&
-                sane(requestClass.deduplicationWindow) && sane(requestClass.priorityWeight) &&
-                sane(requestClass.lateWeight),
-            "a class's figure is negative or not finite");
+    require(isValidNumber(requestClass.latencyTarget) && isValidNumber(requestClass.deadline) &&
+                isValidNumber(requestClass.deduplicationWindow) &&
+                isValidNumber(requestClass.priorityWeight) && isValidNumber(requestClass.lateWeight),
+            "a class setting is negative or not finite");
   for (const PlanSettings& plan : settings.plans)
-    require(sane(plan.rate) && sane(plan.burst) && sane(plan.hardLimitRate) && sane(plan.hardLimitBurst) &&
-                sane(plan.hardLimitSlack) && sane(plan.price) && sane(plan.overQuotaWeight) &&
-                sane(plan.overQuotaCost),
-            "a plan's figure is negative or not finite");
+    require(isValidNumber(plan.rate) && isValidNumber(plan.burst) && isValidNumber(plan.hardLimitRate) &&
+                isValidNumber(plan.hardLimitBurst) && isValidNumber(plan.hardLimitSlack) &&
+                isValidNumber(plan.price) && isValidNumber(plan.overQuotaWeight) &&
+                isValidNumber(plan.overQuotaCost),
+            "a plan setting is negative or not finite");
   return settings;
 }
 
--- a/src/decision/tenant_table.hpp
+++ b/src/decision/tenant_table.hpp
@@ -1,4 +1,4 @@
-// The tenants that a gateway knows.
+// The tenants known to a gateway.
 #pragma once
 
 #include <cstddef>
@@ -13,26 +13,26 @@
 
 namespace lilacmux::decision {
 
-// Tenants by id, in the order of their last request. Of bounded size: an old entry is evicted for a new one.
-// References stay valid until the entry is evicted, which only lookUp does.
+// A bounded table of tenants by id, ordered by their last request. Evicts an old entry for a new one.
+// References stay valid until their entry is evicted, which only lookUp does.
 class TenantTable {
  public:
-  // All must outlive the table.
+  // All arguments must outlive the table.
   TenantTable(const EngineSettings& settings, const Meter& meter, const QuotaEstimate& estimate,
               Random& random, Time now);
 
-  // The entry of a tenant, or null.
+  // Returns the tenant's entry, or null.
   Tenant* find(TenantId id);
-  // The entry of the request's tenant, made where there was none, carried forward to `now`. Draws a random
-  // number for a new one.
+  // Returns the entry of the request's tenant, advanced to `now`; creates it if necessary. Draws a random
+  // number for a new entry.
   Tenant& lookUp(Time now, const EngineRequest& request);
-  // Takes over the entry that the process before this one had; to be called in the order of its last
-  // requests, the most recent first. Ignored where the tenant is known.
+  // Takes over an entry from the previous process. Must be called in the order of the tenants' last requests,
+  // the most recent first. Ignored if the tenant is already in the table.
   void adopt(const Tenant& tenant);
 
   std::size_t size() const { return index_.size(); }
-  bool empty() const { return table_.empty(); }
-  std::list<Tenant>& entries() { return table_; }  // least recent first
+  bool empty() const { return entries_.empty(); }
+  std::list<Tenant>& entries() { return entries_; }  // least recent first
 
   template <class Archive>
   void exchangeState(Archive& archive) {
@@ -40,16 +40,16 @@
   }
 
  private:
-  double freshTokens(const PlanSettings& plan, unsigned gatewaySetSize, Time now) const;
+  double initialTokens(const PlanSettings& plan, unsigned gatewaySetSize, Time now) const;
   void evict(Time now);
 
   const EngineSettings& settings_;
   const Meter& meter_;
   const QuotaEstimate& estimate_;
   Random& random_;
-  std::list<Tenant> table_;  // least recent first
+  std::list<Tenant> entries_;  // least recent first
   std::unordered_map<TenantId, std::list<Tenant>::iterator> index_;
-  // Since when a bucket that is not in the table may have been filling.
+  // The start of the time over which a bucket that is not in the table may have refilled.
   Time bucketSince_, hardLimitSince_;
 };
 
--- a/src/decision/token_bucket.hpp
+++ b/src/decision/token_bucket.hpp
@@ -1,8 +1,13 @@
-// What every holder of a tenant's quota does alike: a bucket that holds up to `cap`, after s seconds more,
-// and the admit fraction back on its way from 0 to 1 within `climb` ms.
+// Token bucket arithmetic shared by all holders of a tenant's quota.
 #pragma once
 #include <algorithm>
 namespace lilacmux {
-inline double refilled(double n, double rate, double cap, double s) { return std::min(cap, n + rate * s); }
-inline double recovered(double f, double span, double climb) { return std::min(1.0, f + span / climb); }
+// Returns the tokens of a bucket of size `capacity` after `seconds` more at `rate` tokens per second.
+inline double refilled(double tokens, double rate, double capacity, double seconds) {
+  return std::min(capacity, tokens + rate * seconds);
+}
+// Returns an admit fraction that recovers from 0 to 1 within `recoveryTime` ms, after `elapsed` ms more.
+inline double recovered(double fraction, double elapsed, double recoveryTime) {
+  return std::min(1.0, fraction + elapsed / recoveryTime);
+}
 }  // namespace lilacmux
--- a/tests/decision/attempts_test.cpp
+++ b/tests/decision/attempts_test.cpp
@@ -7,223 +7,224 @@
 namespace lilacmux::test {
 namespace {
 
-TEST(Attempts, UnsafeThatMayHaveRunFails) {
+TEST(Attempts, UnsafeRequestThatMayHaveRunFails) {
   for (const AttemptResult result : {AttemptResult::error, AttemptResult::timeout, AttemptResult::reset,
                                      AttemptResult::cancelled, AttemptResult::malformed}) {
-    Bench b;
-    b.list({member(1), member(2)});
-    const RequestId id = b.ask(2);
-    EXPECT_EQ(b.recorder.sends.back().timeout, 0);  // an early time-out would end it
-    b.end(id, result);
+    EngineFixture b;
+    b.updateServers({listedServer(1), listedServer(2)});
+    const RequestId id = b.sendRequest(2);
+    EXPECT_EQ(b.recorder.sends.back().timeout, 0);  // an early time-out would end the request
+    b.endAttempt(id, result);
     EXPECT_TRUE(b.hasFailed(id));
     EXPECT_EQ(b.attempts(id), 1u);
   }
 }
 
-// Malformed responses come from any server alike: they fail the attempt and leave the server in.
-TEST(Attempts, AMalformedResponseMayHaveRunAndDoesNotEjectItsServer) {
+// Any server may send malformed responses: they fail the attempt but do not eject the server.
+TEST(Attempts, MalformedResponseCountsAsRunAndDoesNotEjectItsServer) {
   for (const AttemptResult result : {AttemptResult::malformed, AttemptResult::error}) {
-    Bench b;
-    b.list({member(1), member(2)});
+    EngineFixture b;
+    b.updateServers({listedServer(1), listedServer(2)});
     std::map<ServerId, unsigned> sent;
     for (int i = 0; i < 40; ++i) {
       b.now += 50;
-      const RequestId id = b.ask(2, 0, static_cast<TenantId>(i));
+      const RequestId id = b.sendRequest(2, 0, static_cast<TenantId>(i));
       ASSERT_TRUE(b.wasSent(id));
       ++sent[b.lastServer()];
-      b.end(id, b.lastServer() == 1 ? result : AttemptResult::ok);
+      b.endAttempt(id, b.lastServer() == 1 ? result : AttemptResult::ok);
       EXPECT_EQ(b.hasFailed(id), b.lastServer() == 1);
     }
     EXPECT_EQ(sent[1] > 8, result == AttemptResult::malformed) << sent[1];
   }
 }
 
-TEST(Attempts, UnsafeThatNeverRanGoesElsewhere) {
+TEST(Attempts, UnsafeRequestThatDidNotRunIsRetriedAtAnotherServer) {
   for (const AttemptResult result : {AttemptResult::full, AttemptResult::connectFailed}) {
-    Bench b;
-    b.list({member(1), member(2)});
-    const RequestId id = b.ask(2);
+    EngineFixture b;
+    b.updateServers({listedServer(1), listedServer(2)});
+    const RequestId id = b.sendRequest(2);
     const ServerId first = b.lastServer();
-    b.end(id, result);
+    b.endAttempt(id, result);
     EXPECT_EQ(b.attempts(id), 2u);
     EXPECT_NE(b.lastServer(), first);
   }
 }
 
-TEST(Attempts, KeyedStaysInItsZoneAndWindowAndEndsInAFailure) {
-  Bench b;
-  b.list({member(1, 0), member(2, 0), member(3, 1), member(4, 1)});
-  const RequestId id = b.ask(1);
+TEST(Attempts, KeyedRequestIsRetriedOnlyInItsDeduplicationZoneAndWindow) {
+  EngineFixture b;
+  b.updateServers({listedServer(1, 0), listedServer(2, 0), listedServer(3, 1), listedServer(4, 1)});
+  const RequestId id = b.sendRequest(1);
   const unsigned zone = b.lastServer() > 2;
-  b.end(id, AttemptResult::reset);
+  b.endAttempt(id, AttemptResult::reset);
   ASSERT_EQ(b.attempts(id), 2u);
   EXPECT_EQ(b.lastServer() > 2, zone != 0);
-  b.now += 2500;  // past the window
-  b.end(id, AttemptResult::reset);
+  b.now += 2500;  // past the deduplication window
+  b.endAttempt(id, AttemptResult::reset);
   EXPECT_EQ(b.attempts(id), 2u);
   EXPECT_TRUE(b.hasFailed(id));
 }
 
-TEST(Attempts, TimeOutAtTheDeadlineStillGetsItsAnswer) {
+TEST(Attempts, RequestTimedOutAtItsDeadlineGetsAFinalAnswer) {
   for (unsigned classIndex = 0; classIndex < 3; ++classIndex) {
-    Bench b;
-    b.list({member(1)});
-    const RequestId id = b.ask(classIndex, 0, 1, 1, 2, 500);
+    EngineFixture b;
+    b.updateServers({listedServer(1)});
+    const RequestId id = b.sendRequest(classIndex, 0, 1, 1, 2, 500);
     b.now += 500;
-    b.end(id, AttemptResult::timeout, 500);
-    EXPECT_EQ(b.recorder.finals[id], 1u);
-    EXPECT_EQ(b.gateway.pendingRequestCount(), 0u);
+    b.endAttempt(id, AttemptResult::timeout, 500);
+    EXPECT_EQ(b.recorder.finalAnswers[id], 1u);
+    EXPECT_EQ(b.engine.pendingRequestCount(), 0u);
   }
 }
 
-TEST(Attempts, PendingRequestKeepsATimerAndIsAnswered) {
-  Bench b;
-  b.list({member(1)});
-  const RequestId id = b.ask(1);
-  ListedServer gone = member(1);
+TEST(Attempts, RequestThatWaitsForAServerGetsAFinalAnswer) {
+  EngineFixture b;
+  b.updateServers({listedServer(1)});
+  const RequestId id = b.sendRequest(1);
+  ListedServer gone = listedServer(1);
   gone.phase = ServerPhase::gone;
-  b.list({gone}, ListUpdateKind::delta);
-  b.end(id, AttemptResult::reset);
+  b.updateServers({gone}, ListUpdateKind::delta);
+  b.endAttempt(id, AttemptResult::reset);
   ASSERT_FALSE(b.recorder.timers.empty());
-  for (int i = 0; i < 200 && b.recorder.finals[id] == 0; ++i) {
+  for (int i = 0; i < 200 && b.recorder.finalAnswers[id] == 0; ++i) {
     b.now += b.recorder.timers.back().first;
-    b.gateway.handleTimer(b.now, id);
+    b.engine.handleTimer(b.now, id);
   }
-  EXPECT_EQ(b.recorder.finals[id], 1u);
+  EXPECT_EQ(b.recorder.finalAnswers[id], 1u);
   EXPECT_LE(b.now, 3000);
 }
 
-TEST(Attempts, NothingAfterTheClientLeft) {
-  Bench b;
-  b.list({member(1), member(2)});
-  const RequestId id = b.ask();
-  b.gateway.handleClientDisconnect(b.now, id);
-  b.end(id, AttemptResult::reset, 10, -1, true);
+TEST(Attempts, NoAttemptOrFinalAnswerAfterTheClientDisconnected) {
+  EngineFixture b;
+  b.updateServers({listedServer(1), listedServer(2)});
+  const RequestId id = b.sendRequest();
+  b.engine.handleClientDisconnect(b.now, id);
+  b.endAttempt(id, AttemptResult::reset, 10, -1, true);
   EXPECT_EQ(b.attempts(id), 1u);
-  EXPECT_EQ(b.recorder.finals[id], 0u);
+  EXPECT_EQ(b.recorder.finalAnswers[id], 0u);
 }
 
-TEST(Attempts, RetriesTakeNoQuota) {
-  Bench b;
-  b.list({member(1), member(2)});
-  const RequestId id = b.ask();
-  b.end(id, AttemptResult::full);
+TEST(Attempts, RetriesUseNoQuota) {
+  EngineFixture b;
+  b.updateServers({listedServer(1), listedServer(2)});
+  const RequestId id = b.sendRequest();
+  b.endAttempt(id, AttemptResult::full);
   ASSERT_EQ(b.attempts(id), 2u);
-  b.end(id, AttemptResult::ok);
-  int in = 0;
+  b.endAttempt(id, AttemptResult::ok);
+  int admitted = 0;
   for (;;) {
-    const RequestId next = b.ask();
+    const RequestId next = b.sendRequest();
     if (!b.wasSent(next)) break;
-    b.end(next, AttemptResult::ok);
-    ++in;
+    b.endAttempt(next, AttemptResult::ok);
+    ++admitted;
   }
-  EXPECT_EQ(in, 9);
+  EXPECT_EQ(admitted, 9);
 }
 
-TEST(OutlierDetection, AServerThatKeepsFailingIsEjectedAndReturns) {
-  Bench b;
-  b.list({member(1), member(2)});
-  int toBad = 0;
+TEST(OutlierDetection, FailingServerIsEjectedAndReturnsOnceItRecovers) {
+  EngineFixture b;
+  b.updateServers({listedServer(1), listedServer(2)});
+  int attemptsAtFailingServer = 0;
   TenantId c = 0;
-  const auto drive = [&](Time span, bool bad) {
+  const auto drive = [&](Time span, bool isFailing) {
     for (Time end = b.now + span; b.now < end; b.now += 20) {
-      const RequestId id = b.ask(0, 0, ++c);
-      while (b.recorder.sends.back().id == id && b.recorder.finals[id] == 0) {
-        const bool hit = b.lastServer() == 1;
-        toBad += hit;
+      const RequestId id = b.sendRequest(0, 0, ++c);
+      while (b.recorder.sends.back().id == id && b.recorder.finalAnswers[id] == 0) {
+        const bool isTarget = b.lastServer() == 1;
+        attemptsAtFailingServer += isTarget;
         const unsigned before = b.attempts(id);
-        b.end(id, hit && bad ? AttemptResult::connectFailed : AttemptResult::ok, 50);
+        b.endAttempt(id, isTarget && isFailing ? AttemptResult::connectFailed : AttemptResult::ok, 50);
         if (b.attempts(id) == before) break;
       }
     }
   };
   drive(3000, true);
-  EXPECT_LT(toBad, 12);
-  toBad = 0;
+  EXPECT_LT(attemptsAtFailingServer, 12);
+  attemptsAtFailingServer = 0;
   drive(15000, false);
-  EXPECT_GT(toBad, 100);
+  EXPECT_GT(attemptsAtFailingServer, 100);
 }
 
-// Least-loaded choice herds onto servers that turn work away at once: they look idle.
-// Connections that break by chance, at all servers alike, leave all in; one that is dead goes all the same.
-TEST(OutlierDetection, FailuresByChanceEjectNobodyAndADeadServerStillGoes) {
+// Random connection failures at all servers eject none of them, but a dead server is still ejected.
+TEST(OutlierDetection, RandomFailuresEjectNoServerButADeadServerIsEjected) {
   EngineSettings s = settings();
   s.plans[0].rate = 1000, s.plans[0].burst = 100000;
-  Bench b(s);
-  b.list({member(1), member(2), member(3), member(4)});
+  EngineFixture b(s);
+  b.updateServers({listedServer(1), listedServer(2), listedServer(3), listedServer(4)});
   std::mt19937 chance(1);
   std::size_t linesBefore = 0;
   for (int i = 0; i < 4000; ++i) {
-    if (i == 1000) linesBefore = b.recorder.lines.size();  // by then it is known how many break
+    // By then the engine has learned the share of random failures.
+    if (i == 1000) linesBefore = b.recorder.logLines.size();
     b.now += 20;
-    const RequestId id = b.ask(0, 0, b.last);
-    while (b.wasSent(id) && b.recorder.finals[id] == 0) {
+    const RequestId id = b.sendRequest(0, 0, b.lastId);
+    while (b.wasSent(id) && b.recorder.finalAnswers[id] == 0) {
       if (chance() % 8 != 0) {
-        b.end(id, AttemptResult::ok, 50);
+        b.endAttempt(id, AttemptResult::ok, 50);
         break;
       }
-      b.end(id, AttemptResult::reset, 1);
+      b.endAttempt(id, AttemptResult::reset, 1);
     }
   }
-  EXPECT_LE(b.recorder.lines.size() - linesBefore, 1u);
-  int toDead = 0;
+  EXPECT_LE(b.recorder.logLines.size() - linesBefore, 1u);
+  int attemptsAtDeadServer = 0;
   for (int i = 0; i < 100; ++i) {
     b.now += 10;
-    const RequestId id = b.ask(0, 0, b.last);
-    for (; b.lastServer() == 1; ++toDead) b.end(id, AttemptResult::connectFailed, 1);
-    b.end(id, AttemptResult::ok, 50);
+    const RequestId id = b.sendRequest(0, 0, b.lastId);
+    for (; b.lastServer() == 1; ++attemptsAtDeadServer) b.endAttempt(id, AttemptResult::connectFailed, 1);
+    b.endAttempt(id, AttemptResult::ok, 50);
   }
-  EXPECT_LE(toDead, 10);
+  EXPECT_LE(attemptsAtDeadServer, 10);
 }
 
-TEST(ServerSelection, FullServersAreNotHerdedOn) {
-  Bench b;
+// Servers that reject attempts at once look idle: a selection by load alone would send most attempts to them.
+TEST(ServerSelection, FullServersAreNotSelectedRepeatedly) {
+  EngineFixture b;
   std::vector<ListedServer> all;
-  for (ServerId w = 1; w <= 6; ++w) all.push_back(member(w));
-  b.list(all);
+  for (ServerId w = 1; w <= 6; ++w) all.push_back(listedServer(w));
+  b.updateServers(all);
   TenantId c = 0;
   for (int i = 0; i < 300; ++i) {
     b.now += 10;
-    const RequestId id = b.ask(0, 0, ++c);
-    while (b.wasSent(id) && b.recorder.finals[id] == 0) b.end(id, AttemptResult::full, 2);
+    const RequestId id = b.sendRequest(0, 0, ++c);
+    while (b.wasSent(id) && b.recorder.finalAnswers[id] == 0) b.endAttempt(id, AttemptResult::full, 2);
   }
   EXPECT_LT(b.recorder.sends.size(), 60u);
 }
 
-// Latencies past half of the aim shrink what is sent, so that a start or a slow spell does not drive servers
-// over.
-TEST(ConcurrencyLimit, LateAnswersShrinkIt) {
-  const auto outAtOnce = [](Time elapsed) {
-    Bench b;
-    b.list({member(1)});
+// Latencies above half of the latency target lower the limit, which prevents overload after a start or a slow
+// phase.
+TEST(ConcurrencyLimit, LateResponsesLowerIt) {
+  const auto maxAttemptsInFlight = [](Time elapsed) {
+    EngineFixture b;
+    b.updateServers({listedServer(1)});
     TenantId c = 0;
     for (int i = 0; i < 60; ++i) {
       b.now += 250;
-      const RequestId id = b.ask(2, 0, ++c);
-      if (b.wasSent(id)) b.end(id, AttemptResult::ok, elapsed);
+      const RequestId id = b.sendRequest(2, 0, ++c);
+      if (b.wasSent(id)) b.endAttempt(id, AttemptResult::ok, elapsed);
     }
-    int out = 0;
-    while (b.wasSent(b.ask(2, 0, ++c))) ++out;
-    return out;
+    int inFlight = 0;
+    while (b.wasSent(b.sendRequest(2, 0, ++c))) ++inFlight;
+    return inFlight;
   };
-  EXPECT_GE(outAtOnce(100), 6);
-  EXPECT_LE(outAtOnce(700), 2);
+  EXPECT_GE(maxAttemptsInFlight(100), 6);
+  EXPECT_LE(maxAttemptsInFlight(700), 2);
 }
 
-// A server that is cut off keeps its attempts and answers nothing: passed over long before they time out.
-TEST(ServerSelection, AnUnresponsiveServerIsAvoided) {
-  Bench b;
-  b.list({member(1), member(2)});
+// A partitioned server holds its attempts without a response; it is avoided long before they time out.
+TEST(ServerSelection, UnresponsiveServerIsAvoided) {
+  EngineFixture b;
+  b.updateServers({listedServer(1), listedServer(2)});
   TenantId c = 0;
-  const auto drive = [&](Time span, bool cut) {
-    int toCut = 0;
+  const auto drive = [&](Time span, bool isPartitioned) {
+    int attemptsAtPartitionedServer = 0;
     for (Time end = b.now + span; b.now < end; b.now += 25) {
-      const RequestId id = b.ask(2, 0, ++c);
+      const RequestId id = b.sendRequest(2, 0, ++c);
       if (!b.wasSent(id)) continue;
-      toCut += b.lastServer() == 1;
-      if (!cut || b.lastServer() != 1) b.end(id, AttemptResult::ok, 50);
+      attemptsAtPartitionedServer += b.lastServer() == 1;
+      if (!isPartitioned || b.lastServer() != 1) b.endAttempt(id, AttemptResult::ok, 50);
     }
-    return toCut;
+    return attemptsAtPartitionedServer;
   };
   drive(2000, false);
   const int first = drive(500, true);
@@ -233,44 +234,45 @@
 
 TEST(EngineSettings, ValuesOutOfRangeThrowAtConstruction) {
   Recorder r;
-  const auto broken = [&](auto change) {
+  const auto expectThrow = [&](auto change) {
     EngineSettings s = settings();
     change(s);
     EXPECT_THROW(DecisionEngine(s, 1, 0, r), std::invalid_argument);
   };
-  broken([](EngineSettings& s) { s.plans[0].rate = -1; });
-  broken([](EngineSettings& s) { s.plans[0].burst = std::numeric_limits<double>::quiet_NaN(); });
-  broken([](EngineSettings& s) { s.warmUpTime = std::numeric_limits<double>::infinity(); });
-  broken([](EngineSettings& s) { s.gatewayIndex = 2; });
-  broken([](EngineSettings& s) { s.gatewayCount = 0; });
-  broken([](EngineSettings& s) { s.classes.clear(); });
+  expectThrow([](EngineSettings& s) { s.plans[0].rate = -1; });
+  expectThrow([](EngineSettings& s) { s.plans[0].burst = std::numeric_limits<double>::quiet_NaN(); });
+  expectThrow([](EngineSettings& s) { s.warmUpTime = std::numeric_limits<double>::infinity(); });
+  expectThrow([](EngineSettings& s) { s.gatewayIndex = 2; });
+  expectThrow([](EngineSettings& s) { s.gatewayCount = 0; });
+  expectThrow([](EngineSettings& s) { s.classes.clear(); });
 }
 
-// Arbitrary legal orders of events: every request gets one final answer in time, attempts obey its class.
-TEST(Invariants, HoldUnderArbitraryLegalEvents) {
+// Arbitrary valid event sequences: every request gets one final answer in time, and attempts respect its
+// class.
+TEST(Invariants, HoldUnderArbitraryValidEvents) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     std::mt19937 rng(seed);
-    Bench b;
+    EngineFixture b;
     std::vector<ListedServer> all;
-    for (ServerId w = 1; w <= 6; ++w) all.push_back(member(w, w > 3));
-    b.list(all);
-    struct Open {
+    for (ServerId w = 1; w <= 6; ++w) all.push_back(listedServer(w, w > 3));
+    b.updateServers(all);
+    struct OpenRequest {
       unsigned classIndex;
       Time expires, ranSince = -1;
       bool out = false, done = false, ran = false;
       unsigned zone = 0;
     };
-    std::map<RequestId, Open> open;
-    std::set<ServerId> barred;
+    std::map<RequestId, OpenRequest> open;
+    std::set<ServerId> excluded;
     std::vector<std::pair<Time, std::uint64_t>> due;
-    std::size_t seenSends = 0, seenTimers = 0;
+    std::size_t checkedSends = 0, checkedTimers = 0;
     const auto check = [&] {
-      for (; seenSends < b.recorder.sends.size(); ++seenSends) {
-        const Sent& s = b.recorder.sends[seenSends];
-        Open& o = open.at(s.id);
+      for (; checkedSends < b.recorder.sends.size(); ++checkedSends) {
+        const SentAttempt& s = b.recorder.sends[checkedSends];
+        OpenRequest& o = open.at(s.id);
         EXPECT_FALSE(o.out) << "two attempts out at once";
         EXPECT_FALSE(o.done);
-        EXPECT_FALSE(barred.contains(s.server));
+        EXPECT_FALSE(excluded.contains(s.server));
         if (o.ran && o.classIndex == 2) ADD_FAILURE() << "an unsafe request was repeated";
         if (o.ran && o.classIndex == 1) {
           EXPECT_EQ(o.zone, static_cast<unsigned>(s.server > 3));
@@ -282,10 +284,11 @@
         if (b.recorder.rejected.contains(id) && o.ran) {
           EXPECT_EQ(o.classIndex, 0u);
         }
-        if (b.recorder.finals[id]) o.done = true;
+        if (b.recorder.finalAnswers[id]) o.done = true;
       }
-      for (; seenTimers < b.recorder.timers.size(); ++seenTimers)
-        due.emplace_back(b.now + b.recorder.timers[seenTimers].first, b.recorder.timers[seenTimers].second);
+      for (; checkedTimers < b.recorder.timers.size(); ++checkedTimers)
+        due.emplace_back(b.now + b.recorder.timers[checkedTimers].first,
+                         b.recorder.timers[checkedTimers].second);
     };
     for (int step = 0; step < 4000; ++step) {
       b.now += static_cast<Time>(rng() % 8);
@@ -296,14 +299,14 @@
         }
         const auto tag = due[i].second;
         due.erase(due.begin() + static_cast<long>(i));
-        b.gateway.handleTimer(b.now, tag);
+        b.engine.handleTimer(b.now, tag);
         check();
       }
       if (step < 3400 && rng() % 3 == 0) {
         const unsigned classIndex = rng() % 3;
-        const Time patience = static_cast<Time>(200 + rng() % 2500);
-        open.emplace(b.last + 1, Open{classIndex, b.now + patience});
-        b.ask(classIndex, rng() % 3, rng() % 40, static_cast<double>(1 + rng() % 3), 2, patience);
+        const Time timeLimit = static_cast<Time>(200 + rng() % 2500);
+        open.emplace(b.lastId + 1, OpenRequest{classIndex, b.now + timeLimit});
+        b.sendRequest(classIndex, rng() % 3, rng() % 40, static_cast<double>(1 + rng() % 3), 2, timeLimit);
         check();
       }
       for (auto& [id, o] : open) {
@@ -312,54 +315,54 @@
             AttemptResult::ok,    AttemptResult::error, AttemptResult::full,         AttemptResult::timeout,
             AttemptResult::reset, AttemptResult::ok,    AttemptResult::connectFailed};
         const AttemptResult result = b.now >= o.expires ? AttemptResult::timeout : kResults[rng() % 7];
-        ServerId at = 0;
-        for (const Sent& s : b.recorder.sends)
-          if (s.id == id) at = s.server;
+        ServerId server = 0;
+        for (const SentAttempt& s : b.recorder.sends)
+          if (s.id == id) server = s.server;
         o.out = false;
         if (result != AttemptResult::full && result != AttemptResult::connectFailed && !o.ran) {
-          o.ran = true, o.zone = at > 3;
+          o.ran = true, o.zone = server > 3;
           o.ranSince = b.now;
         }
         if (result == AttemptResult::ok) o.done = true;
-        b.end(id, result, 30, rng() % 2 ? static_cast<int>(rng() % 300) : -1, o.done);
+        b.endAttempt(id, result, 30, rng() % 2 ? static_cast<int>(rng() % 300) : -1, o.done);
         check();
       }
       if (rng() % 60 == 0) {
         ListedServer m = all[rng() % all.size()];
         m.phase = rng() % 2 ? ServerPhase::ready : rng() % 2 ? ServerPhase::draining : ServerPhase::gone;
         if (m.phase == ServerPhase::ready)
-          barred.erase(m.id);
+          excluded.erase(m.id);
         else
-          barred.insert(m.id);
-        b.list({m}, ListUpdateKind::delta);
+          excluded.insert(m.id);
+        b.updateServers({m}, ListUpdateKind::delta);
       }
     }
     for (auto& [id, o] : open) EXPECT_TRUE(o.done || b.now < o.expires + 8) << "request " << id << " is lost";
   }
 }
 
-// Two hundred gateways before twenty servers: one attempt of each at every server would be ten times what
-// they hold. Late answers bring what a gateway has out far below one for each server, and early ones bring it
-// back.
-TEST(ConcurrencyLimit, OfAWholeGatewayFallsFarBelowOneForEachServer) {
+// With two hundred gateways and twenty servers, one attempt of each gateway at every server would be ten
+// times the servers' capacity. Late responses lower a gateway's limit far below one attempt per server, and
+// early responses raise it again.
+TEST(ConcurrencyLimit, OfAGatewayFallsFarBelowOneAttemptPerServer) {
   EngineSettings s = settings();
   s.gatewayCount = 200;
   s.plans[0].rate = 1000, s.plans[0].burst = 100000;
-  Bench b(s);
+  EngineFixture b(s);
   std::vector<ListedServer> fleet;
-  for (ServerId w = 1; w <= 20; ++w) fleet.push_back(member(w));
-  b.list(fleet);
+  for (ServerId w = 1; w <= 20; ++w) fleet.push_back(listedServer(w));
+  b.updateServers(fleet);
   const auto sent = [&](Time latency) {
-    int in = 0;
+    int admitted = 0;
     for (int i = 0; i < 40; ++i) {
       b.now += 250;
-      const RequestId id = b.ask(0, 0, b.last, 1, 200);
+      const RequestId id = b.sendRequest(0, 0, b.lastId, 1, 200);
       if (!b.wasSent(id)) continue;
-      ++in;
+      ++admitted;
       b.now += 10;
-      b.end(id, AttemptResult::ok, latency);
+      b.endAttempt(id, AttemptResult::ok, latency);
     }
-    return in;
+    return admitted;
   };
   EXPECT_EQ(sent(100), 40);
   sent(900);
@@ -369,44 +372,45 @@
   EXPECT_GT(sent(100), 30);
 }
 
-// Workers that turn attempts away while most others answer at once leave the room at the others.
-TEST(ConcurrencyLimit, AFewFullServersDoNotCloseIt) {
+// Servers that reject attempts as full, while most others respond at once, do not reduce the room at the
+// others.
+TEST(ConcurrencyLimit, FewFullServersDoNotLowerTheGatewaysLimit) {
   EngineSettings s = settings();
   s.plans[0].rate = 1000, s.plans[0].burst = 100000;
-  Bench b(s);
+  EngineFixture b(s);
   std::vector<ListedServer> fleet;
-  for (ServerId w = 1; w <= 9; ++w) fleet.push_back(member(w));
-  b.list(fleet);
+  for (ServerId w = 1; w <= 9; ++w) fleet.push_back(listedServer(w));
+  b.updateServers(fleet);
   for (int i = 0; i < 1000; ++i) {
     b.now += 20;
-    const RequestId id = b.ask(0, 0, b.last);
+    const RequestId id = b.sendRequest(0, 0, b.lastId);
     ASSERT_TRUE(b.wasSent(id)) << i;
-    while (b.lastServer() <= 3 && !b.wasRejected(id)) b.end(id, AttemptResult::full, 25);
-    if (!b.wasRejected(id)) b.end(id, AttemptResult::ok, 300);  // neither late nor early
+    while (b.lastServer() <= 3 && !b.wasRejected(id)) b.endAttempt(id, AttemptResult::full, 25);
+    if (!b.wasRejected(id)) b.endAttempt(id, AttemptResult::ok, 300);  // neither late nor early
   }
-  int out = 0;
-  while (out < 100 && b.wasSent(b.ask(0, 0, b.last))) ++out;
-  EXPECT_GE(out, 12);
+  int inFlight = 0;
+  while (inFlight < 100 && b.wasSent(b.sendRequest(0, 0, b.lastId))) ++inFlight;
+  EXPECT_GE(inFlight, 12);
 }
 
-// What a large request takes beyond a small one is its own work: it says nothing of load.
-TEST(ConcurrencyLimit, LargeRequestsAmongSmallOnesDoNotCloseIt) {
+// The additional time of a large request compared with a small one is work, not a sign of load.
+TEST(ConcurrencyLimit, LargeRequestsAmongSmallOnesDoNotLowerIt) {
   EngineSettings s = settings();
   s.maxUnits = 4;
   s.plans[0].rate = 1000, s.plans[0].burst = 100000;
-  Bench b(s);
-  b.list({member(1), member(2), member(3), member(4)});
+  EngineFixture b(s);
+  b.updateServers({listedServer(1), listedServer(2), listedServer(3), listedServer(4)});
   for (int i = 0; i < 400; ++i) {
     b.now += 50;
     const bool large = i % 4 == 3;
-    const RequestId id = b.ask(0, 0, b.last, large ? 4 : 1);
+    const RequestId id = b.sendRequest(0, 0, b.lastId, large ? 4 : 1);
     ASSERT_TRUE(b.wasSent(id)) << i;
     b.now += large ? 700 : 100;
-    b.end(id, AttemptResult::ok, large ? 700 : 100);
+    b.endAttempt(id, AttemptResult::ok, large ? 700 : 100);
   }
-  int out = 0;
-  while (out < 100 && b.wasSent(b.ask(0, 0, b.last))) ++out;
-  EXPECT_GE(out, 8);  // two for each server
+  int inFlight = 0;
+  while (inFlight < 100 && b.wasSent(b.sendRequest(0, 0, b.lastId))) ++inFlight;
+  EXPECT_GE(inFlight, 8);  // two for each server
 }
 
 }  // namespace
--- a/tests/decision/guards_test.cpp
+++ b/tests/decision/guards_test.cpp
@@ -6,89 +6,89 @@
 namespace lilacmux::test {
 namespace {
 
-double ceilingUnits(Bench& b, Time span, TenantId tenant = 1) {
+double admittedHardLimitUnits(EngineFixture& b, Time span, TenantId tenant = 1) {
   double units = 0;
   for (Time end = b.now + span; b.now < end; b.now += 10) {
-    const RequestId id = b.ask(0, 2, tenant, 2);
+    const RequestId id = b.sendRequest(0, 2, tenant, 2);
     if (!b.wasSent(id)) continue;
     units += 2;
-    b.end(id, AttemptResult::ok, 10, 0);
+    b.endAttempt(id, AttemptResult::ok, 10, 0);
   }
   return units;
 }
 
-TEST(HardLimit, OneGatewayKeepsToItsShareHoweverTheTrafficIsSplit) {
+TEST(HardLimit, GatewayKeepsToItsEvenShare) {
   EngineSettings s = settings();
-  s.plans[2].rate = 1000, s.plans[2].burst = 1000;  // the quota is not what holds here
-  Bench b(s);
-  b.list({member(1)});
+  s.plans[2].rate = 1000, s.plans[2].burst = 1000;  // the hard limit, not the quota, is the bound here
+  EngineFixture b(s);
+  b.updateServers({listedServer(1)});
   b.now += 60000;
-  EXPECT_LE(ceilingUnits(b, 10000), 20 + 10 * 10);
+  EXPECT_LE(admittedHardLimitUnits(b, 10000), 20 + 10 * 10);
 }
 
-TEST(HardLimit, ARestartDoesNotRefillIt) {
+TEST(HardLimit, RestartDoesNotRefillIt) {
   EngineSettings s = settings();
   s.plans[2].rate = 1000, s.plans[2].burst = 1000;
-  Bench b(s, 50000);
-  b.list({member(1)});
-  EXPECT_LE(ceilingUnits(b, 1000), 10);
+  EngineFixture b(s, 50000);
+  b.updateServers({listedServer(1)});
+  EXPECT_LE(admittedHardLimitUnits(b, 1000), 10);
 }
 
-TEST(HardLimit, AnEvictionDoesNotRefillIt) {
+TEST(HardLimit, EvictionDoesNotRefillIt) {
   EngineSettings s = settings();
   s.plans[2].rate = 1000, s.plans[2].burst = 1000;
-  Bench b(s);
-  b.list({member(1)});
+  EngineFixture b(s);
+  b.updateServers({listedServer(1)});
   b.now += 60000;
-  ceilingUnits(b, 5000);
+  admittedHardLimitUnits(b, 5000);
   for (TenantId c = 100; c < 9000; ++c) {
-    const RequestId id = b.ask(0, 2, c, 2);
-    if (b.wasSent(id)) b.end(id, AttemptResult::ok, 10);
+    const RequestId id = b.sendRequest(0, 2, c, 2);
+    if (b.wasSent(id)) b.endAttempt(id, AttemptResult::ok, 10);
   }
-  EXPECT_LE(ceilingUnits(b, 1000), 12);
+  EXPECT_LE(admittedHardLimitUnits(b, 1000), 12);
 }
 
-TEST(Drain, NothingNewToADrainingGoneOrUnlistedServer) {
-  Bench b;
-  b.list({member(1), member(2), member(3), member(4)});
-  ListedServer draining = member(1), gone = member(2);
+TEST(Drain, NoNewRequestsToDrainingGoneOrUnlistedServers) {
+  EngineFixture b;
+  b.updateServers({listedServer(1), listedServer(2), listedServer(3), listedServer(4)});
+  ListedServer draining = listedServer(1), gone = listedServer(2);
   draining.phase = ServerPhase::draining, gone.phase = ServerPhase::gone;
-  b.list({draining, gone}, ListUpdateKind::delta);
-  b.list({draining, member(4)});  // server 3 is missing from the whole list
+  b.updateServers({draining, gone}, ListUpdateKind::delta);
+  b.updateServers({draining, listedServer(4)});  // server 3 is missing from the complete list
   for (TenantId c = 0; c < 40; ++c) {
-    const RequestId id = b.ask(0, 0, c);
+    const RequestId id = b.sendRequest(0, 0, c);
     ASSERT_TRUE(b.wasSent(id));
     EXPECT_EQ(b.lastServer(), 4u);
-    b.end(id, AttemptResult::ok);
+    b.endAttempt(id, AttemptResult::ok);
   }
 }
 
-TEST(Drain, EmptyListRefuses) {
-  Bench b;
-  const RequestId id = b.ask();
+TEST(Drain, RequestIsRejectedWithoutServers) {
+  EngineFixture b;
+  const RequestId id = b.sendRequest();
   EXPECT_TRUE(b.wasRejected(id));
 }
 
-TEST(SlowStart, SendsStayUnderTheShareOfAWarmServersAndAreSpreadOut) {
+TEST(SlowStart, SendsStayBelowAShareOfAWarmServersAndAreSpreadOut) {
   EngineSettings s = settings();
-  Bench b(s, 100000);
-  b.list({member(1), member(2), member(3)});
-  std::map<ServerId, int> first, count;
+  EngineFixture b(s, 100000);
+  b.updateServers({listedServer(1), listedServer(2), listedServer(3)});
+  std::map<ServerId, int> countBeforeStart, count;
   std::deque<RequestId> out;
   const auto drive = [&](Time span, std::map<ServerId, int>& into) {
     for (Time end = b.now + span; b.now < end; b.now += 10) {
-      const RequestId id = b.ask(0, 0, b.last);
+      const RequestId id = b.sendRequest(0, 0, b.lastId);
       if (!b.wasSent(id)) continue;
       ++into[b.lastServer()];
       out.push_back(id);
       if (out.size() > 8) {
-        b.end(out.front(), AttemptResult::ok, 50);
+        b.endAttempt(out.front(), AttemptResult::ok, 50);
         out.pop_front();
       }
     }
   };
-  drive(5000, first);
-  b.list({member(4, 0, b.now)}, ListUpdateKind::delta);
+  drive(5000, countBeforeStart);
+  b.updateServers({listedServer(4, 0, b.now)}, ListUpdateKind::delta);
   std::map<ServerId, int> burst;
   drive(100, burst);
   EXPECT_LE(burst[4], 1);
@@ -98,9 +98,9 @@
   EXPECT_LE(count[4], 0.36 * warm + 1);
 }
 
-// Every gateway has just restarted and the whole fleet is cold: together they keep to what one request a span
-// at every server allows, instead of one each at once.
-TEST(SlowStart, RestartedGatewaysBeforeAFleetThatWarmsUpSendLittleAtFirst) {
+// All gateways have just restarted and all servers are warming up: together the gateways keep to what one
+// request per server and overload duration allows, instead of one request each at once.
+TEST(SlowStart, RestartedGatewaysSendLittleToServersThatAreAllWarmingUp) {
   EngineSettings s = settings();
   s.gatewayCount = 200;
   s.plans[0].rate = 1000, s.plans[0].burst = 100000;
@@ -108,219 +108,223 @@
   for (unsigned g = 0; g < s.gatewayCount; ++g) {
     s.gatewayIndex = g;
     Recorder recorder;
-    DecisionEngine gateway(s, 1000 + g, 50000, recorder);
-    gateway.updateServers(50000, ListUpdateKind::cached, {member(1, 0, 50000), member(2, 0, 50000)});
-    for (RequestId i = 0; i < 20; ++i) gateway.handleRequest(50000 + 50 * i, {i, 0, 0, 1, 60000, 1, 200});
+    DecisionEngine engine(s, 1000 + g, 50000, recorder);
+    engine.updateServers(50000, ListUpdateKind::cached,
+                         {listedServer(1, 0, 50000), listedServer(2, 0, 50000)});
+    for (RequestId i = 0; i < 20; ++i) engine.handleRequest(50000 + 50 * i, {i, 0, 0, 1, 60000, 1, 200});
     sent += static_cast<unsigned>(recorder.sends.size());
   }
-  EXPECT_LE(sent, 2 * s.overloadFactor);  // a multiple of one for each of two servers in one span
+  // overloadFactor requests for each of two servers in one overloadDuration
+  EXPECT_LE(sent, 2 * s.overloadFactor);
 }
 
-// A tenant whose set of gateways grows leaves this gateway a smaller part of its ceiling at once.
+// A growing set of gateways reduces this gateway's share of the tenant's hard limit at once.
 TEST(HardLimit, FollowsTheTenantsSetOfGateways) {
   EngineSettings s = settings();
   s.gatewayCount = 40;
   s.plans[2].rate = 1000, s.plans[2].burst = 1000;
-  Bench b(s);
-  b.list({member(1), member(2), member(3), member(4)});
+  EngineFixture b(s);
+  b.updateServers({listedServer(1), listedServer(2), listedServer(3), listedServer(4)});
   b.now += 60000;
-  b.end(b.ask(0, 2, 1, 1, 2), AttemptResult::ok);
-  int in = 0;
+  b.endAttempt(b.sendRequest(0, 2, 1, 1, 2), AttemptResult::ok);
+  int admitted = 0;
   for (int i = 0; i < 20; ++i) {
-    const RequestId id = b.ask(0, 2, 1, 1, 20);
+    const RequestId id = b.sendRequest(0, 2, 1, 1, 20);
     if (!b.wasSent(id)) continue;
-    ++in;
-    b.end(id, AttemptResult::ok);
+    ++admitted;
+    b.endAttempt(id, AttemptResult::ok);
   }
-  EXPECT_LE(in, 2);  // a twentieth of a store of forty
+  EXPECT_LE(admitted, 2);  // a twentieth of a bucket of forty
 }
 
-TEST(ServerPool, ServersListedTwiceOrBackUnderANewStartAreOne) {
-  Bench b(settings(), 50000);
-  b.list({member(1), member(1), member(2)});
-  const RequestId id = b.ask();
-  b.list({member(1, 0, 50000), member(2, 0, 50000), member(2, 0, 50000)}, ListUpdateKind::delta);
-  b.end(id, AttemptResult::reset);
+TEST(ServerPool, DuplicateOrRestartedEntriesAreOneServer) {
+  EngineFixture b(settings(), 50000);
+  b.updateServers({listedServer(1), listedServer(1), listedServer(2)});
+  const RequestId id = b.sendRequest();
+  b.updateServers({listedServer(1, 0, 50000), listedServer(2, 0, 50000), listedServer(2, 0, 50000)},
+                  ListUpdateKind::delta);
+  b.endAttempt(id, AttemptResult::reset);
   EXPECT_LE(b.attempts(id), 2u);
   b.now += 60000;
-  EXPECT_TRUE(b.wasSent(b.ask()));
+  EXPECT_TRUE(b.wasSent(b.sendRequest()));
 }
 
-TEST(Clock, AGapOfAnHourIsLegal) {
-  Bench b;
-  b.list({member(1)});
-  const RequestId id = b.ask(0, 0, 1, 1, 2, 5e6);
+TEST(Clock, GapOfAnHourIsHandled) {
+  EngineFixture b;
+  b.updateServers({listedServer(1)});
+  const RequestId id = b.sendRequest(0, 0, 1, 1, 2, 5e6);
   b.now += 3.6e6;
-  b.end(id, AttemptResult::ok, 3.6e6, 300);
-  int in = 0;
+  b.endAttempt(id, AttemptResult::ok, 3.6e6, 300);
+  int admitted = 0;
   for (int i = 0; i < 10; ++i) {
-    const RequestId next = b.ask();
+    const RequestId next = b.sendRequest();
     if (!b.wasSent(next)) continue;
-    ++in;
-    b.end(next, AttemptResult::ok);
+    ++admitted;
+    b.endAttempt(next, AttemptResult::ok);
   }
-  EXPECT_GT(in, 0);
+  EXPECT_GT(admitted, 0);
 }
 
-// Memory over a long stream of new tenants, with answers that never come but end by their time-outs.
+// Bounded memory over a long stream of new tenants, some of whose attempts end only by time-out.
 TEST(TenantTable, StaysBoundedOverALongStreamOfNewTenants) {
-  Bench b;
-  b.list({member(1), member(2)});
+  EngineFixture b;
+  b.updateServers({listedServer(1), listedServer(2)});
   for (int i = 0; i < 20000; ++i) {
     b.now += 20;
-    const RequestId id = b.ask(0, 0, 1000 + i);
-    if (b.wasSent(id)) b.end(id, i % 3 ? AttemptResult::ok : AttemptResult::timeout, 100, -1, true);
+    const RequestId id = b.sendRequest(0, 0, 1000 + i);
+    if (b.wasSent(id)) b.endAttempt(id, i % 3 ? AttemptResult::ok : AttemptResult::timeout, 100, -1, true);
   }
-  EXPECT_LE(b.gateway.tenantCount(), 4096u);
-  EXPECT_EQ(b.gateway.pendingRequestCount(), 0u);
+  EXPECT_LE(b.engine.tenantCount(), 4096u);
+  EXPECT_EQ(b.engine.pendingRequestCount(), 0u);
 }
 
-// An attempt that gets no answer while the server answers later ones at once
-// was lost on the way, or its answer was: that tells nothing of load, however
-// long it took.
-TEST(ConcurrencyLimit, AnAttemptLostAtAServerThatAnswersCutsNothing) {
-  Bench b;
-  b.list({member(1)});
+// An attempt without a response at a server that answers later attempts at once was lost, or its response
+// was. However long it took, it says nothing about load.
+TEST(ConcurrencyLimit, AttemptLostAtARespondingServerDoesNotLowerIt) {
+  EngineFixture b;
+  b.updateServers({listedServer(1)});
   TenantId tenant = 1;
   for (int i = 0; i < 20; ++i) {
-    const RequestId lost = b.ask(2, 0, tenant++);
+    const RequestId lost = b.sendRequest(2, 0, tenant++);
     ASSERT_TRUE(b.wasSent(lost));
     for (int j = 0; j < 10; ++j) {
       b.now += 100;
-      const RequestId quick = b.ask(0, 0, tenant++);
-      if (b.wasSent(quick)) b.end(quick, AttemptResult::ok, 10);
+      const RequestId answered = b.sendRequest(0, 0, tenant++);
+      if (b.wasSent(answered)) b.endAttempt(answered, AttemptResult::ok, 10);
     }
-    b.end(lost, i % 2 ? AttemptResult::timeout : AttemptResult::malformed, 1000);
+    b.endAttempt(lost, i % 2 ? AttemptResult::timeout : AttemptResult::malformed, 1000);
   }
-  for (int i = 0; i < 3; ++i) EXPECT_TRUE(b.wasSent(b.ask(0, 0, tenant++)));
+  for (int i = 0; i < 3; ++i) EXPECT_TRUE(b.wasSent(b.sendRequest(0, 0, tenant++)));
 }
 
-TEST(Suspension, HoldsWhateverTheListSaysAndOneResumeEndsIt) {
-  Bench bench;
-  bench.list({member(1), member(2)});
-  bench.gateway.suspend(bench.now, 1);
-  bench.gateway.suspend(bench.now += 10, 1);
-  const auto ask = [&] {
-    const RequestId id = bench.ask(0, 0, 100 + bench.last);
-    EXPECT_TRUE(bench.wasSent(id));
-    const ServerId server = bench.lastServer();
-    bench.end(id, AttemptResult::connectFailed);  // a further attempt must not go there either
-    EXPECT_EQ(bench.lastServer(), 2u);
-    bench.end(id, AttemptResult::ok, 10);
+TEST(Suspension, OverridesTheServerListUntilTheFirstResume) {
+  EngineFixture fixture;
+  fixture.updateServers({listedServer(1), listedServer(2)});
+  fixture.engine.suspend(fixture.now, 1);
+  fixture.engine.suspend(fixture.now += 10, 1);
+  const auto sendAndRetry = [&] {
+    const RequestId id = fixture.sendRequest(0, 0, 100 + fixture.lastId);
+    EXPECT_TRUE(fixture.wasSent(id));
+    const ServerId server = fixture.lastServer();
+    fixture.endAttempt(id,
+                       AttemptResult::connectFailed);  // a retry must not go to the suspended server either
+    EXPECT_EQ(fixture.lastServer(), 2u);
+    fixture.endAttempt(id, AttemptResult::ok, 10);
     return server;
   };
-  EXPECT_EQ(ask(), 2u);
-  bench.list({member(1, 0, bench.now), member(2)});  // it has restarted
-  EXPECT_EQ(ask(), 2u);
-  bench.list({member(2)});
-  bench.list({member(1), member(2)});
-  EXPECT_EQ(ask(), 2u);
-  EXPECT_EQ(bench.gateway.poolView(bench.now).avoided, 1u);
-  bench.gateway.resume(bench.now += 100, 1);
-  EXPECT_EQ(bench.gateway.poolView(bench.now).avoided, 0u);
+  EXPECT_EQ(sendAndRetry(), 2u);
+  fixture.updateServers({listedServer(1, 0, fixture.now), listedServer(2)});  // server 1 has restarted
+  EXPECT_EQ(sendAndRetry(), 2u);
+  fixture.updateServers({listedServer(2)});
+  fixture.updateServers({listedServer(1), listedServer(2)});
+  EXPECT_EQ(sendAndRetry(), 2u);
+  EXPECT_EQ(fixture.engine.poolView(fixture.now).avoided, 1u);
+  fixture.engine.resume(fixture.now += 100, 1);
+  EXPECT_EQ(fixture.engine.poolView(fixture.now).avoided, 0u);
   bool sent = false;
   for (int i = 0; i < 200 && !sent; ++i) {
-    bench.now += 25;
-    const RequestId id = bench.ask(0, 0, 1000 + bench.last);
-    sent = bench.wasSent(id) && bench.lastServer() == 1;
-    if (bench.wasSent(id)) bench.end(id, AttemptResult::ok, 10);
+    fixture.now += 25;
+    const RequestId id = fixture.sendRequest(0, 0, 1000 + fixture.lastId);
+    sent = fixture.wasSent(id) && fixture.lastServer() == 1;
+    if (fixture.wasSent(id)) fixture.endAttempt(id, AttemptResult::ok, 10);
   }
   EXPECT_TRUE(sent);
 }
 
-// A server is restarted while it is left out, and the list may tell so later or not at all.
-TEST(Suspension, AResumedServerWarmsUpAlsoWhereNoStartIsListed) {
-  for (const bool told : {false, true}) {
-    Bench bench;
-    bench.list({member(1), member(2)});
-    unsigned cold = 0, usual = 0;
-    const auto run = [&](Time span, unsigned& at) {
-      for (const Time end = bench.now + span; bench.now < end; bench.now += 10) {
-        const RequestId id = bench.ask(0, 0, 100 + bench.last);
-        if (!bench.wasSent(id)) continue;
-        at += bench.lastServer() == 1;
-        bench.end(id, AttemptResult::ok, 5);
+// A server is restarted while it is suspended; the list may report the restart later or not at all.
+TEST(Suspension, ResumedServerWarmsUpEvenIfNoRestartIsListed) {
+  for (const bool isRestartListed : {false, true}) {
+    EngineFixture fixture;
+    fixture.updateServers({listedServer(1), listedServer(2)});
+    unsigned sentWhileWarming = 0, sentBefore = 0;
+    const auto run = [&](Time span, unsigned& count) {
+      for (const Time end = fixture.now + span; fixture.now < end; fixture.now += 10) {
+        const RequestId id = fixture.sendRequest(0, 0, 100 + fixture.lastId);
+        if (!fixture.wasSent(id)) continue;
+        count += fixture.lastServer() == 1;
+        fixture.endAttempt(id, AttemptResult::ok, 5);
       }
     };
-    run(3000, usual);
-    bench.gateway.suspend(bench.now, 1);
-    bench.now += 1000;
-    if (told) bench.list({member(1, 0, bench.now)}, ListUpdateKind::delta);
-    bench.gateway.resume(bench.now, 1);
-    run(3000, cold);
-    EXPECT_GT(cold, 3u);
-    EXPECT_LT(cold, usual * 2 / 3) << told;
+    run(3000, sentBefore);
+    fixture.engine.suspend(fixture.now, 1);
+    fixture.now += 1000;
+    if (isRestartListed) fixture.updateServers({listedServer(1, 0, fixture.now)}, ListUpdateKind::delta);
+    fixture.engine.resume(fixture.now, 1);
+    run(3000, sentWhileWarming);
+    EXPECT_GT(sentWhileWarming, 3u);
+    EXPECT_LT(sentWhileWarming, sentBefore * 2 / 3) << isRestartListed;
   }
 }
 
-// The next process of a gateway in the middle of its day: a tenant that has used its quota up, a server
-// that failed, cold ones that are sent to by the rate of the warm ones.
-TEST(LearnedState, TheNextProcessGoesOnWhereTheOldOneStood) {
-  Bench old(settings(), 100000);
-  old.list({member(1), member(2)});
+// The next process of a gateway with a tenant that has used up its quota, a failed server, and warming
+// servers that are paced by the success rate of the warm ones.
+TEST(LearnedState, NextProcessContinuesWithTheStateOfTheOldOne) {
+  EngineFixture old(settings(), 100000);
+  old.updateServers({listedServer(1), listedServer(2)});
   for (int i = 0; i < 200; ++i, old.now += 10) {
-    const RequestId id = old.ask(0, 0, 100 + i % 50);
-    if (old.wasSent(id)) old.end(id, AttemptResult::ok, 5, 20);
+    const RequestId id = old.sendRequest(0, 0, 100 + i % 50);
+    if (old.wasSent(id)) old.endAttempt(id, AttemptResult::ok, 5, 20);
   }
-  while (!old.wasRejected(old.ask(0, 0, 7))) old.end(old.last, AttemptResult::ok, 1);
-  EXPECT_TRUE(old.wasSent(old.ask(0, 1, 8)));  // its part of the cap
-  const auto known = old.gateway.exportLearnedState(old.now);
+  while (!old.wasRejected(old.sendRequest(0, 0, 7))) old.endAttempt(old.lastId, AttemptResult::ok, 1);
+  EXPECT_TRUE(old.wasSent(old.sendRequest(0, 1, 8)));  // this gateway's share of the concurrency cap
+  const auto learnedState = old.engine.exportLearnedState(old.now);
 
-  Bench next(settings(), old.now), blank(settings(), old.now);
-  for (Bench* bench : {&next, &blank}) bench->list({member(1), member(2), member(3, 0, old.now - 5000)});
-  EXPECT_TRUE(next.gateway.importLearnedState(next.now, known));
-  EXPECT_TRUE(next.wasRejected(next.ask(0, 0, 7)));
-  EXPECT_FALSE(blank.wasRejected(blank.ask(0, 0, 7)));
-  EXPECT_TRUE(next.wasRejected(next.ask(0, 1, 8)));  // it is out at the old one
-  unsigned sent[2] = {0, 0};                         // to the cold one, where there is no other
-  for (Bench* bench : {&next, &blank}) {
-    bench->gateway.suspend(bench->now, 1);
-    bench->gateway.suspend(bench->now, 2);
+  EngineFixture next(settings(), old.now), fresh(settings(), old.now);
+  for (EngineFixture* fixture : {&next, &fresh})
+    fixture->updateServers({listedServer(1), listedServer(2), listedServer(3, 0, old.now - 5000)});
+  EXPECT_TRUE(next.engine.importLearnedState(next.now, learnedState));
+  EXPECT_TRUE(next.wasRejected(next.sendRequest(0, 0, 7)));
+  EXPECT_FALSE(fresh.wasRejected(fresh.sendRequest(0, 0, 7)));
+  EXPECT_TRUE(next.wasRejected(next.sendRequest(0, 1, 8)));  // its attempt is in flight at the old process
+  unsigned sent[2] = {0, 0};  // to the warming server, while the others are suspended
+  for (EngineFixture* fixture : {&next, &fresh}) {
+    fixture->engine.suspend(fixture->now, 1);
+    fixture->engine.suspend(fixture->now, 2);
     for (TenantId tenant = 200; tenant < 300; ++tenant) {
-      bench->now += 10;
-      const RequestId id = bench->ask(0, 0, tenant);
-      if (!bench->wasSent(id)) continue;
-      ++sent[bench == &blank];
-      bench->end(id, AttemptResult::ok, 5);
+      fixture->now += 10;
+      const RequestId id = fixture->sendRequest(0, 0, tenant);
+      if (!fixture->wasSent(id)) continue;
+      ++sent[fixture == &fresh];
+      fixture->endAttempt(id, AttemptResult::ok, 5);
     }
   }
   EXPECT_GT(sent[0], 3 * sent[1]);
 }
 
-TEST(LearnedState, WhatIsMalformedIsTakenAsNone) {
-  Bench old;
-  old.list({member(1)});
-  old.end(old.ask(), AttemptResult::ok);
-  const auto sound = old.gateway.exportLearnedState(old.now);
-  auto shorter = sound, other = sound, endless = sound, many = sound;
-  shorter.pop_back(), other[0] += 1, endless.back() = HUGE_VAL, many[8] = 1e300;
-  for (const auto& bad : {shorter, other, endless, many, std::vector<double>{}}) {
-    Bench next;
-    EXPECT_FALSE(next.gateway.importLearnedState(next.now, bad));
+TEST(LearnedState, MalformedStateIsRejectedWithoutEffect) {
+  EngineFixture old;
+  old.updateServers({listedServer(1)});
+  old.endAttempt(old.sendRequest(), AttemptResult::ok);
+  const auto valid = old.engine.exportLearnedState(old.now);
+  auto truncated = valid, otherVersion = valid, infinite = valid, tooMany = valid;
+  truncated.pop_back(), otherVersion[0] += 1, infinite.back() = HUGE_VAL, tooMany[8] = 1e300;
+  for (const auto& malformed : {truncated, otherVersion, infinite, tooMany, std::vector<double>{}}) {
+    EngineFixture next;
+    EXPECT_FALSE(next.engine.importLearnedState(next.now, malformed));
   }
-  std::vector<double> wild = sound;  // of the right form, with figures that no gateway has
-  for (std::size_t i = 10; i < wild.size(); ++i) wild[i] = i % 2 ? -1e200 : 1e200;
-  Bench next;
-  next.list({member(1)});
-  next.gateway.importLearnedState(next.now, wild);
-  EngineSettings alone = settings();
-  alone.gatewayCount = 1;
-  Bench foreign(alone);
-  EXPECT_FALSE(foreign.gateway.importLearnedState(foreign.now, sound));
+  std::vector<double> outOfRange = valid;  // of the right format, with values that no gateway has
+  for (std::size_t i = 10; i < outOfRange.size(); ++i) outOfRange[i] = i % 2 ? -1e200 : 1e200;
+  EngineFixture next;
+  next.updateServers({listedServer(1)});
+  next.engine.importLearnedState(next.now, outOfRange);
+  EngineSettings singleGateway = settings();
+  singleGateway.gatewayCount = 1;
+  EngineFixture otherSettings(singleGateway);
+  EXPECT_FALSE(otherSettings.engine.importLearnedState(otherSettings.now, valid));
 }
 
-TEST(PoolView, CountsTheListedAndThoseAvoided) {
-  Bench bench;
-  bench.list({member(1), member(2), member(3)});
-  EXPECT_EQ(bench.gateway.poolView(bench.now).listed, 3u);
-  EXPECT_EQ(bench.gateway.poolView(bench.now).avoided, 0u);
+TEST(PoolView, CountsListedAndAvoidedServers) {
+  EngineFixture fixture;
+  fixture.updateServers({listedServer(1), listedServer(2), listedServer(3)});
+  EXPECT_EQ(fixture.engine.poolView(fixture.now).listed, 3u);
+  EXPECT_EQ(fixture.engine.poolView(fixture.now).avoided, 0u);
   std::vector<RequestId> failing;
-  for (int i = 0; i < 12; ++i) failing.push_back(bench.ask(2, 0, 100 + static_cast<TenantId>(i)));
+  for (int i = 0; i < 12; ++i) failing.push_back(fixture.sendRequest(2, 0, 100 + static_cast<TenantId>(i)));
   for (const RequestId id : failing)
-    if (bench.attempts(id) > 0) bench.end(id, AttemptResult::reset);
-  EXPECT_EQ(bench.gateway.poolView(bench.now).avoided, 3u);
-  bench.list({member(1)}, ListUpdateKind::full);
-  EXPECT_EQ(bench.gateway.poolView(bench.now).listed, 1u);
+    if (fixture.attempts(id) > 0) fixture.endAttempt(id, AttemptResult::reset);
+  EXPECT_EQ(fixture.engine.poolView(fixture.now).avoided, 3u);
+  fixture.updateServers({listedServer(1)}, ListUpdateKind::full);
+  EXPECT_EQ(fixture.engine.poolView(fixture.now).listed, 1u);
 }
 
 }  // namespace
--- a/tests/decision/recorder.hpp
+++ b/tests/decision/recorder.hpp
@@ -1,4 +1,5 @@
-// A recording action sink and small builders: the module alone, without the bench.
+// Test helpers for the decision engine alone: an EngineActions that records all actions, and builders for
+// settings and events.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -9,38 +10,38 @@
 
 namespace lilacmux::test {
 
-struct Sent {
+struct SentAttempt {
   RequestId id;
   ServerId server;
   Time timeout;
-  unsigned attempt;
+  unsigned attemptIndex;
 };
 
 class Recorder : public EngineActions {
  public:
-  std::vector<Sent> sends;
+  std::vector<SentAttempt> sends;
   std::map<RequestId, Time> rejected;
-  std::map<RequestId, unsigned> failed, finals, attempts;
+  std::map<RequestId, unsigned> failed, finalAnswers, attempts;
   std::vector<std::pair<Time, std::uint64_t>> timers;
-  std::vector<std::string> lines;
+  std::vector<std::string> logLines;
   unsigned subscriptions = 0;
 
   void send(RequestId id, ServerId server, Time timeout) override {
-    EXPECT_EQ(finals[id], 0u) << "an attempt after the final answer of " << id;
+    EXPECT_EQ(finalAnswers[id], 0u) << "an attempt after the final answer of " << id;
     sends.push_back({id, server, timeout, attempts[id]++});
   }
   void reject(RequestId id, Time retryAfter) override {
     rejected[id] = retryAfter;
     EXPECT_GT(retryAfter, 0);
-    EXPECT_EQ(++finals[id], 1u);
+    EXPECT_EQ(++finalAnswers[id], 1u);
   }
   void fail(RequestId id) override {
     ++failed[id];
-    EXPECT_EQ(++finals[id], 1u);
+    EXPECT_EQ(++finalAnswers[id], 1u);
   }
   void setTimer(Time wait, std::uint64_t tag) override { timers.emplace_back(wait, tag); }
   void subscribe() override { ++subscriptions; }
-  void log(const std::string& line) override { lines.push_back(line); }
+  void log(const std::string& line) override { logLines.push_back(line); }
 };
 
 inline EngineSettings settings() {
@@ -62,45 +63,45 @@
   ClassSettings unsafe = safe;
   unsafe.idempotency = Idempotency::unsafe;
   s.classes = {safe, keyed, unsafe};
-  PlanSettings rate;
-  rate.rate = 10, rate.burst = 20, rate.overQuotaCost = 1;
-  PlanSettings open;
-  open.maxInFlight = 2;
-  PlanSettings ceiling = rate;
-  ceiling.hardLimitRate = 20, ceiling.hardLimitBurst = 40;
-  s.plans = {rate, open, ceiling};
+  PlanSettings quota;
+  quota.rate = 10, quota.burst = 20, quota.overQuotaCost = 1;
+  PlanSettings cap;
+  cap.maxInFlight = 2;
+  PlanSettings hardLimit = quota;
+  hardLimit.hardLimitRate = 20, hardLimit.hardLimitBurst = 40;
+  s.plans = {quota, cap, hardLimit};
   return s;
 }
 
-inline ListedServer member(ServerId id, unsigned zone = 0, Time started = 0) {
-  ListedServer m;
-  m.id = id, m.zone = zone, m.startedAt = started;
-  return m;
+inline ListedServer listedServer(ServerId id, unsigned zone = 0, Time startedAt = 0) {
+  ListedServer server;
+  server.id = id, server.zone = zone, server.startedAt = startedAt;
+  return server;
 }
 
-class Bench {  // one gateway with its recorder
+class EngineFixture {  // one gateway and the recorder of its actions
  public:
-  explicit Bench(const EngineSettings& s = settings(), Time start = 0, std::uint64_t salt = 7)
-      : now(start), gateway(s, salt, start, recorder) {}
+  explicit EngineFixture(const EngineSettings& s = settings(), Time start = 0, std::uint64_t salt = 7)
+      : now(start), engine(s, salt, start, recorder) {}
 
-  void list(const std::vector<ListedServer>& members, ListUpdateKind kind = ListUpdateKind::full) {
-    gateway.updateServers(now, kind, members);
+  void updateServers(const std::vector<ListedServer>& servers, ListUpdateKind kind = ListUpdateKind::full) {
+    engine.updateServers(now, kind, servers);
   }
-  RequestId ask(unsigned classIndex = 0, unsigned plan = 0, TenantId tenant = 1, double units = 1,
-                unsigned gatewaySetSize = 2, Time patience = 3000) {
-    gateway.handleRequest(now, {++last, classIndex, plan, tenant, now + patience, units, gatewaySetSize});
-    return last;
+  RequestId sendRequest(unsigned classIndex = 0, unsigned plan = 0, TenantId tenant = 1, double units = 1,
+                        unsigned gatewaySetSize = 2, Time timeLimit = 3000) {
+    engine.handleRequest(now, {++lastId, classIndex, plan, tenant, now + timeLimit, units, gatewaySetSize});
+    return lastId;
   }
-  // Ends the newest attempt of a request.
-  void end(RequestId id, AttemptResult result, Time elapsed = 100, int percent = -1, bool finished = false,
-           double actualUnits = 0) {
+  // Reports the end of the request's last attempt.
+  void endAttempt(RequestId id, AttemptResult result, Time elapsed = 100, int percent = -1,
+                  bool isRequestFinished = false, double actualUnits = 0) {
     for (auto it = recorder.sends.rbegin(); it != recorder.sends.rend(); ++it) {
       if (it->id != id) continue;
       AttemptOutcome out;
-      out.id = id, out.result = result, out.attemptIndex = it->attempt, out.server = it->server;
+      out.id = id, out.result = result, out.attemptIndex = it->attemptIndex, out.server = it->server;
       out.elapsed = elapsed, out.quotaUsePercent = percent, out.actualUnits = actualUnits;
-      out.isRequestFinished = finished || result == AttemptResult::ok;
-      gateway.handleOutcome(now, out);
+      out.isRequestFinished = isRequestFinished || result == AttemptResult::ok;
+      engine.handleOutcome(now, out);
       return;
     }
     FAIL() << "no attempt of " << id;
@@ -112,9 +113,9 @@
   ServerId lastServer() const { return recorder.sends.back().server; }
 
   Time now;
-  RequestId last = 0;
+  RequestId lastId = 0;
   Recorder recorder;
-  DecisionEngine gateway;
+  DecisionEngine engine;
 };
 
 }  // namespace lilacmux::test
