--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -101,7 +101,7 @@
   configuration_.onPrimacyLost();
 }
 
-void ControlNode::onOpenedLate() { follow(); }
+void ControlNode::onReplicaAvailable() { follow(); }
 
 // Operators' changes come first, names of grant holders after them: only one proposal can be pending.
 void ControlNode::processProposals() {
--- a/src/control/control_node.hpp
+++ b/src/control/control_node.hpp
@@ -47,7 +47,7 @@
   // CoreMember::Observer
   void onCommitted(const ReplicatedState& state) override;
   void onPrimacyLost() override;
-  void onOpenedLate() override;
+  void onReplicaAvailable() override;
 
   void follow();
   void tick();
--- a/src/control/control_status.cpp
+++ b/src/control/control_status.cpp
@@ -13,17 +13,17 @@
   return (std::max<std::size_t>(1, record.members.size()) - 1) / 2;
 }
 
-const char* textOf(CorePart part) {
-  switch (part) {
-    case CorePart::failed:
+const char* textOf(CoreRole role) {
+  switch (role) {
+    case CoreRole::failed:
       return "silent: its disk takes nothing";
-    case CorePart::primary:
+    case CoreRole::primary:
       return "primary";
-    case CorePart::backup:
+    case CoreRole::backup:
       return "backup";
-    case CorePart::witness:
+    case CoreRole::witness:
       return "witness";
-    case CorePart::observer:
+    case CoreRole::observer:
       break;
   }
   return "observer";
@@ -31,7 +31,7 @@
 
 void addCore(nlohmann::json& out, const CoreStatus& core, unsigned machineFailures) {
   const EpochRecord& record = core.record;
-  out["part"] = textOf(core.part);
+  out["part"] = textOf(core.role);
   out["serves"] = core.hasLease;
   out["leader"] = core.leader;
   out["epoch"] = epochText(record.epoch);
@@ -79,7 +79,7 @@
   out.counter("lilacmux_changes_total", "Configurations acknowledged here",
               static_cast<double>(status.acknowledgedChanges));
   out.counter("lilacmux_primary_total", "Times that this one became the primary",
-              static_cast<double>(status.timesPrimary));
+              static_cast<double>(status.primacyCount));
   out.gauge("lilacmux_relay_gatekeepers", "Gatekeepers that ask here",
             static_cast<double>(status.relay.gatekeepers));
   if (status.core) addCore(out, *status.core, status.machineFailures);
--- a/src/control/control_status.hpp
+++ b/src/control/control_status.hpp
@@ -14,7 +14,7 @@
 namespace lilacmux {
 
 // A node's part in the core.
-enum class CorePart {
+enum class CoreRole {
   failed,  // its disk cannot be written
   primary,
   backup,
@@ -23,7 +23,7 @@
 };
 
 struct CoreStatus {
-  CorePart part = CorePart::observer;
+  CoreRole role = CoreRole::observer;
   bool isPrimary = false;
   bool hasLease = false;  // as the primary, now
   bool hasFailed = false;
@@ -47,7 +47,7 @@
   // Since the start of the process.
   std::uint64_t requests = 0;  // of gatekeepers, relays and members
   std::uint64_t acknowledgedChanges = 0;
-  std::uint64_t timesPrimary = 0;
+  std::uint64_t primacyCount = 0;
 };
 
 // One line of JSON, without the line end.
--- a/src/control/core_member.cpp
+++ b/src/control/core_member.cpp
@@ -42,7 +42,7 @@
 void CoreMember::tick(bool isDraining) {
   if (storeFolder_ && (!replica_ || replica_->hasFailed())) retryOpen();
   if (!replica_) return;
-  publishOwnView();
+  publishLocalView();
   updateContacts();
   if (!isDraining) replica_->tick(steadyMs());
 }
@@ -58,7 +58,7 @@
   const bool isFirst = !replica_;
   if (!tryOpen()) return;
   log_("the disk is in use again");
-  if (isFirst) observer_.onOpenedLate();
+  if (isFirst) observer_.onReplicaAvailable();
 }
 
 bool CoreMember::tryOpen() {
@@ -88,12 +88,12 @@
   return false;
 }
 
-void CoreMember::publishOwnView() {
-  discovery_.setOwnView({replica_->epoch(), replica_->members()}, replica_->isMember());
+void CoreMember::publishLocalView() {
+  discovery_.setLocalView({replica_->epoch(), replica_->members()}, replica_->isMember());
 }
 
 void CoreMember::updateContacts() {
-  auto contacts = discovery_.contacts();
+  auto contacts = discovery_.joinContacts();
   if (contacts == contacts_) return;
   contacts_ = contacts;
   replica_->setContacts(std::move(contacts));
--- a/src/control/core_member.hpp
+++ b/src/control/core_member.hpp
@@ -39,7 +39,7 @@
     // This node is no longer the primary; whether a pending proposal will be committed is open.
     virtual void onPrimacyLost() = 0;
     // There is a replica now, though the store could not be opened when the process started.
-    virtual void onOpenedLate() = 0;
+    virtual void onReplicaAvailable() = 0;
   };
 
   CoreMember(boost::asio::io_context& io, NodeId self, const NodeSettings& settings, PeerDiscovery& discovery,
@@ -71,7 +71,7 @@
   bool tryOpen();
   void open();
   void retryOpen();
-  void publishOwnView();
+  void publishLocalView();
   void updateContacts();
 
   const NodeId self_;
--- a/src/control/follow_service.cpp
+++ b/src/control/follow_service.cpp
@@ -29,7 +29,7 @@
   FollowResponse out = redirectToCore();
   const Millis now = steadyMs();
   if (replica.hasLease(now) && primary_.isActive()) {
-    primary_.answer(now, request, replica.committed(), out);
+    primary_.fillResponse(now, request, replica.committed(), out);
   } else if (replica.leader() != self_) {
     out.leader = replica.leader();
   }
--- a/src/control/internal_api.cpp
+++ b/src/control/internal_api.cpp
@@ -23,7 +23,8 @@
 
 void InternalApi::handle(Frame&& frame, const FrameServer::Reply& reply) {
   ++requestCount_;
-  if (const auto presence = parsePeerAnnouncement(frame)) return reply(discovery_.answer(*presence));
+  if (const auto presence = parsePeerAnnouncement(frame))
+    return reply(discovery_.handleAnnouncement(*presence));
   Replica* replica = member_.replica();
   if (!replica) return reply(toFrame(follows_.redirectToCore()));
   if (const auto request = parseFollowRequest(frame))
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -52,17 +52,17 @@
   return temporaryRefusal(result.message);
 }
 
-CorePart partOf(const Replica& replica, const NodeId& self) {
-  if (replica.hasFailed()) return CorePart::failed;
-  if (replica.isPrimary()) return CorePart::primary;
-  if (!replica.isMember()) return CorePart::observer;
-  return replica.durable().record.isBackup(self) ? CorePart::backup : CorePart::witness;
+CoreRole roleOf(const Replica& replica, const NodeId& self) {
+  if (replica.hasFailed()) return CoreRole::failed;
+  if (replica.isPrimary()) return CoreRole::primary;
+  if (!replica.isMember()) return CoreRole::observer;
+  return replica.durable().record.isBackup(self) ? CoreRole::backup : CoreRole::witness;
 }
 
 CoreStatus coreStatus(const Replica& replica, const NodeId& self, Millis now) {
   const DurableState& durable = replica.durable();
   CoreStatus out;
-  out.part = partOf(replica, self);
+  out.role = roleOf(replica, self);
   out.isPrimary = replica.isPrimary();
   out.hasLease = replica.hasLease(now);
   out.hasFailed = replica.hasFailed();
@@ -74,12 +74,12 @@
 
 }  // namespace
 
-OperatorApi::OperatorApi(NodeId self, const NodeSettings& settings, const Parts& parts)
+OperatorApi::OperatorApi(NodeId self, const NodeSettings& settings, const Components& components)
     : self_(std::move(self)),
       name_(settings.name),
       address_(*settings.controlPlane),
       machineFailures_(settings.machineFailures),
-      parts_(parts) {}
+      components_(components) {}
 
 void OperatorApi::listen(boost::asio::io_context& io) {
   CallServer::Limits limits;
@@ -108,7 +108,7 @@
   const bool isReplace = path == kReplacePath;
   if (request.method() != (isReplace ? http::verb::post : http::verb::get))
     return respond(refusal(http::status::method_not_allowed, "the call's method is another"));
-  Replica* replica = parts_.member.replica();
+  Replica* replica = components_.member.replica();
   if (!replica || !replica->hasLease(steadyMs())) return respond(redirectToPrimary(path));
   if (isReplace) return replaceConfiguration(std::move(request), *replica, respond);
   respond(describeConfiguration(*replica));
@@ -117,8 +117,8 @@
 void OperatorApi::replaceConfiguration(HttpRequest&& request, Replica& replica, const Respond& respond) {
   const auto base = number<std::uint64_t>(view(request[kBaseRevisionHeader]));
   if (!base) return respond(refusal(http::status::bad_request, "X-Base-Revision is not a number"));
-  parts_.configuration.submit(steadyMs(), replica, {std::move(request.body()), *base},
-                              [respond](const ChangeResult& result) { respond(replyOf(result)); });
+  components_.configuration.submit(steadyMs(), replica, {std::move(request.body()), *base},
+                                   [respond](const ChangeResult& result) { respond(replyOf(result)); });
 }
 
 CallReply OperatorApi::describeConfiguration(const Replica& replica) const {
@@ -138,32 +138,32 @@
 }
 
 NodeId OperatorApi::redirectTarget() const {
-  const Replica* replica = std::as_const(parts_.member).replica();
+  const Replica* replica = std::as_const(components_.member).replica();
   return replica ? replica->leader() : someCoreProcess();
 }
 
 // For a node without a disk: a relay, else a member of the core in turn; they know the primary.
 NodeId OperatorApi::someCoreProcess() const {
-  const auto& relays = parts_.relay.knownRelays();
+  const auto& relays = components_.relay.knownRelays();
   if (!relays.empty()) return relays.front().address;
-  const auto candidates = parts_.discovery.coreCandidates();
+  const auto candidates = components_.discovery.coreCandidates();
   if (candidates.empty()) return {};
-  return candidates[parts_.internalApi.requestCount() % candidates.size()];
+  return candidates[components_.internalApi.requestCount() % candidates.size()];
 }
 
 ControlStatus OperatorApi::status() const {
   const Millis now = steadyMs();
-  const Replica* replica = std::as_const(parts_.member).replica();
+  const Replica* replica = std::as_const(components_.member).replica();
   ControlStatus out;
   out.name = name_;
   out.address = self_;
   out.machineFailures = machineFailures_;
   if (replica) out.core = coreStatus(*replica, self_, now);
-  out.primary = parts_.primary.status(now);
-  out.relay = {parts_.relay.gatekeepers(now), parts_.relay.revision()};
-  out.requests = parts_.internalApi.requestCount();
-  out.acknowledgedChanges = parts_.configuration.acknowledgedCount();
-  out.timesPrimary = parts_.primary.beginCount();
+  out.primary = components_.primary.status(now);
+  out.relay = {components_.relay.gatekeepers(now), components_.relay.revision()};
+  out.requests = components_.internalApi.requestCount();
+  out.acknowledgedChanges = components_.configuration.acknowledgedCount();
+  out.primacyCount = components_.primary.activationCount();
   return out;
 }
 
--- a/src/control/operator_api.hpp
+++ b/src/control/operator_api.hpp
@@ -23,7 +23,7 @@
 class OperatorApi {
  public:
   // The parts of the control node that it reports on and acts through.
-  struct Parts {
+  struct Components {
     CoreMember& member;
     ConfigurationService& configuration;
     const PrimaryRole& primary;
@@ -33,7 +33,7 @@
   };
 
   // The settings must have an address for `listeners.controlPlane`.
-  OperatorApi(NodeId self, const NodeSettings& settings, const Parts& parts);
+  OperatorApi(NodeId self, const NodeSettings& settings, const Components& components);
 
   // Throws std::runtime_error if it cannot listen.
   void listen(boost::asio::io_context& io);
@@ -55,7 +55,7 @@
   const std::string name_;
   const Endpoint address_;
   const unsigned machineFailures_;
-  const Parts parts_;
+  const Components components_;
   std::optional<CallServer> server_;
 };
 
--- a/src/control/peer_discovery.hpp
+++ b/src/control/peer_discovery.hpp
@@ -27,12 +27,14 @@
   // Replaces the seeds by those of newer settings.
   void setSeeds(std::vector<NodeId> seeds) { directory_.setSeeds(std::move(seeds)); }
   // The core by this process's own epoch record.
-  void setOwnView(const CoreView& view, bool isMember) { directory_.setLocalView(view, isMember); }
+  void setLocalView(const CoreView& view, bool isMember) { directory_.setLocalView(view, isMember); }
 
   // Announces this process to the peers that are due. To be called every 100 ms or so.
   void announce() { announcer_.tick(); }
   // The answer to another process's announcement.
-  Frame answer(const PeerAnnouncement& announcement) { return announcer_.handle(announcement); }
+  Frame handleAnnouncement(const PeerAnnouncement& announcement) {
+    return announcer_.handleAnnouncement(announcement);
+  }
   // Writes the known peers to disk if they have changed, at most every ten seconds. Without a data directory
   // it does nothing.
   void savePeers();
@@ -42,7 +44,7 @@
   // Processes that may be members of the core.
   std::vector<NodeId> coreCandidates() const { return directory_.coreCandidates(); }
   // Processes that an observer asks to be taken into the core.
-  std::vector<NodeId> contacts() const { return directory_.joinContacts(); }
+  std::vector<NodeId> joinContacts() const { return directory_.joinContacts(); }
 
  private:
   const std::optional<std::filesystem::path> peerFile_;  // none without a data directory
--- a/src/control/primary_role.cpp
+++ b/src/control/primary_role.cpp
@@ -49,7 +49,7 @@
 
 void PrimaryRole::begin(Millis now, std::uint64_t epoch, const ChangeLog& followed,
                         const ReplicatedState& committed) {
-  ++beginCount_;
+  ++activationCount_;
   primary_ = std::make_unique<PrimaryService>(now, epoch, followed, committed.grantHolders,
                                               quotaRule(bounds_), retryRule(bounds_));
   watchPlatform();
@@ -80,8 +80,8 @@
       log_);
 }
 
-void PrimaryRole::answer(Millis now, const FollowRequest& request, const ReplicatedState& committed,
-                         FollowResponse& response) {
+void PrimaryRole::fillResponse(Millis now, const FollowRequest& request, const ReplicatedState& committed,
+                               FollowResponse& response) {
   const std::string holder = nameWithoutIncarnation(request.name);
   const bool isReplicated = committed.grantHolders.contains(holder);
   if (!isReplicated) {
--- a/src/control/primary_role.hpp
+++ b/src/control/primary_role.hpp
@@ -53,8 +53,8 @@
 
   // Fills in the response to a relay. Only while active. A relay is granted nothing before its name has been
   // replicated; until then it is queued for `proposeHolders`.
-  void answer(Millis now, const FollowRequest& request, const ReplicatedState& committed,
-              FollowResponse& response);
+  void fillResponse(Millis now, const FollowRequest& request, const ReplicatedState& committed,
+                    FollowResponse& response);
   // Proposes the queued names, if there are any and the replica can write, so that the next primary knows
   // from whom it must hear first. Names of holders that are gone are dropped with the same change.
   void proposeHolders(Millis now, Replica& replica);
@@ -62,7 +62,7 @@
   // Nothing while it is not active.
   std::optional<Status> status(Millis now) const;
   // How often the role has begun since the start of the process.
-  std::uint64_t beginCount() const { return beginCount_; }
+  std::uint64_t activationCount() const { return activationCount_; }
 
  private:
   void begin(Millis now, std::uint64_t epoch, const ChangeLog& followed, const ReplicatedState& committed);
@@ -76,7 +76,7 @@
   std::unique_ptr<PrimaryService> primary_;  // while active
   std::unique_ptr<PlatformWatcher> watch_;   // while active, if there is an address
   std::set<std::string> unreplicatedHolders_;
-  std::uint64_t beginCount_ = 0;
+  std::uint64_t activationCount_ = 0;
 };
 
 }  // namespace lilacmux
--- a/src/discovery/announcer.cpp
+++ b/src/discovery/announcer.cpp
@@ -16,10 +16,10 @@
 }  // namespace
 
 void Announcer::tick() {
-  for (const NodeId& peer : directory_.takeDue(steadyMs())) announce(peer);
+  for (const NodeId& peer : directory_.takeDuePeers(steadyMs())) announce(peer);
 }
 
-Frame Announcer::handle(const PeerAnnouncement& announcement) {
+Frame Announcer::handleAnnouncement(const PeerAnnouncement& announcement) {
   directory_.recordAnnouncement(steadyMs(), announcement);
   return toFrame(directory_.announcement());
 }
--- a/src/discovery/announcer.hpp
+++ b/src/discovery/announcer.hpp
@@ -20,7 +20,7 @@
   void tick();
 
   // Records a peer's announcement and returns the response: this process's own announcement.
-  Frame handle(const PeerAnnouncement& announcement);
+  Frame handleAnnouncement(const PeerAnnouncement& announcement);
 
  private:
   void announce(const NodeId& peer);
--- a/src/discovery/peer_directory.cpp
+++ b/src/discovery/peer_directory.cpp
@@ -84,7 +84,7 @@
   if (next->second.isResponsive && !isDue) due.push_back(lastRotated_);
 }
 
-std::vector<NodeId> PeerDirectory::takeDue(Millis now) {
+std::vector<NodeId> PeerDirectory::takeDuePeers(Millis now) {
   std::vector<NodeId> due;
   for (const auto& [node, peer] : peers_)
     if (now >= peer.nextAnnouncementAt || needsUpdate(now, peer)) due.push_back(node);
--- a/src/discovery/peer_directory.hpp
+++ b/src/discovery/peer_directory.hpp
@@ -41,7 +41,7 @@
   void setLocalView(const CoreView& view, bool isMember);
 
   // The peers to which this process must be announced now. Counts as done.
-  std::vector<NodeId> takeDue(Millis now);
+  std::vector<NodeId> takeDuePeers(Millis now);
 
   // What this process announces.
   PeerAnnouncement announcement() const;
--- a/src/experiment/discovery_processes.cpp
+++ b/src/experiment/discovery_processes.cpp
@@ -72,7 +72,7 @@
   const CoreView& core = directory.core();
   host.follower->selector.setCore(core.epoch, toEndpoints(core.members));
   if (plan_.mutant != DiscoveryMutant::noAnnouncements)
-    for (const NodeId& peer : directory.takeDue(network_.now())) announce(host, peer);
+    for (const NodeId& peer : directory.takeDuePeers(network_.now())) announce(host, peer);
   if (host.hasDisk && network_.now() >= host.rememberPeersAt) {
     host.rememberPeersAt = network_.now() + kRememberInterval;
     host.rememberedPeers = directory.knownPeers();
--- a/tests/control/operator_storms.cpp
+++ b/tests/control/operator_fault_injection.cpp
@@ -8,7 +8,7 @@
 #include <mutex>
 #include <thread>
 
-#include "operator_world.hpp"
+#include "operator_simulation.hpp"
 
 namespace {
 
@@ -18,8 +18,8 @@
 
 struct Sum {
   std::mutex mutex;
-  OperatorWorld::Count count;
-  void add(const OperatorWorld::Count& one) {
+  OperatorSimulation::Count count;
+  void add(const OperatorSimulation::Count& one) {
     const std::lock_guard lock(mutex);
     count.acknowledged += one.acknowledged;
     count.refused += one.refused;
@@ -45,10 +45,10 @@
   Sum sum;
   const auto work = [&] {
     for (std::uint64_t seed = next++; seed < end && !failed; seed = next++) {
-      OperatorWorld world(seed);
-      world.simulate(kFaultsLastMs);
-      sum.add(world.count());
-      if (isLinearizable(world.history())) continue;
+      OperatorSimulation simulation(seed);
+      simulation.simulate(kFaultsLastMs);
+      sum.add(simulation.count());
+      if (isLinearizable(simulation.history())) continue;
       std::printf("seed %llu: the history is not linearizable\n", static_cast<unsigned long long>(seed));
       failed = true;
     }
--- a/tests/control/operator_world.hpp
+++ b/tests/control/operator_simulation.hpp
@@ -20,13 +20,13 @@
 
 namespace lilacmux::test {
 
-class OperatorWorld {
+class OperatorSimulation {
  public:
   struct Count {
     std::size_t acknowledged = 0, refused = 0, unknown = 0, repeats = 0, reads = 0, committed = 0;
   };
 
-  explicit OperatorWorld(std::uint64_t seed) : random_(seed * 0x9e3779b97f4a7c15u + 1) {
+  explicit OperatorSimulation(std::uint64_t seed) : random_(seed * 0x9e3779b97f4a7c15u + 1) {
     const std::size_t members = chance() < 0.3 ? 5 : 3;
     timing_.losses = static_cast<unsigned>(members / 2);
     constexpr std::size_t kCapacities[] = {1, 2, 8, ConfigurationRegister::kDefaultCapacity};
@@ -75,25 +75,25 @@
   static constexpr std::size_t kMaxInFlight = 4;  // of each operator
 
   struct Host : ReplicaHost {
-    Host(OperatorWorld& w, NodeId s) : world(w), self(std::move(s)) {}
+    Host(OperatorSimulation& owner, NodeId name) : simulation(owner), self(std::move(name)) {}
     void send(const NodeId& to, const MemberMessage& message) override {
-      world.sendMessage(self, to, message);
+      simulation.sendMessage(self, to, message);
     }
     bool store(const DurableState& durable) override {
-      Node& node = world.nodes_[self];
+      Node& node = simulation.nodes_[self];
       if (node.syncDuration > 0)
-        node.frozenUntil = std::max(node.frozenUntil, world.now_ + node.syncDuration);
+        node.frozenUntil = std::max(node.frozenUntil, simulation.now_ + node.syncDuration);
       node.disk = durable;
       return true;
     }
     void committed(const ReplicatedState& state) override {
-      world.recordCommit(state);
-      world.nodes_[self].service->onCommitted();
-      world.at(self, 0, [w = &world, s = self] { w->pump(s); });
+      simulation.recordCommit(state);
+      simulation.nodes_[self].service->onCommitted();
+      simulation.at(self, 0, [owner = &simulation, name = self] { owner->processQueue(name); });
     }
-    void lostPrimacy() override { world.nodes_[self].service->onPrimacyLost(); }
+    void lostPrimacy() override { simulation.nodes_[self].service->onPrimacyLost(); }
     void log(const std::string&) override {}
-    OperatorWorld& world;
+    OperatorSimulation& simulation;
     const NodeId self;
   };
   struct Node {
@@ -179,10 +179,10 @@
   }
   void tick(const NodeId& name) {
     nodes_[name].replica->tick(now_);
-    pump(name);
+    processQueue(name);
     at(name, 100 + chance(), [this, name] { tick(name); });
   }
-  void pump(const NodeId& name) { nodes_[name].service->processQueue(now_, *nodes_[name].replica); }
+  void processQueue(const NodeId& name) { nodes_[name].service->processQueue(now_, *nodes_[name].replica); }
   void kill(const NodeId& name, Millis lasts) {
     Node& node = nodes_[name];
     if (!node.replica) return;
--- a/tests/control/operator_world_test.cpp
+++ b/tests/control/operator_simulation_test.cpp
@@ -1,5 +1,5 @@
 // What operators see of the configuration while faults are injected.
-#include "operator_world.hpp"
+#include "operator_simulation.hpp"
 
 #include <gtest/gtest.h>
 
@@ -8,12 +8,12 @@
 
 TEST(Operators, SeeOneRegisterThroughFaults) {
   constexpr std::uint64_t kSeeds = 300;
-  OperatorWorld::Count sum;
+  OperatorSimulation::Count sum;
   for (std::uint64_t seed = 0; seed < kSeeds; ++seed) {
-    OperatorWorld world(seed);
-    world.simulate(20000);
-    ASSERT_TRUE(isLinearizable(world.history())) << "seed " << seed;
-    const auto count = world.count();
+    OperatorSimulation simulation(seed);
+    simulation.simulate(20000);
+    ASSERT_TRUE(isLinearizable(simulation.history())) << "seed " << seed;
+    const auto count = simulation.count();
     EXPECT_GT(count.committed, 0u) << "seed " << seed;
     sum.acknowledged += count.acknowledged;
     sum.refused += count.refused;
--- a/tests/discovery/peer_directory_test.cpp
+++ b/tests/discovery/peer_directory_test.cpp
@@ -28,7 +28,7 @@
   auto member = make(1, {nodeId(9)});
   member.setLocalView({7, {nodeId(1), nodeId(2), nodeId(3)}}, true);
   auto diskless = make(9, {nodeId(8)});
-  EXPECT_EQ(member.takeDue(now), (std::vector<NodeId>{nodeId(2), nodeId(3), nodeId(9)}));
+  EXPECT_EQ(member.takeDuePeers(now), (std::vector<NodeId>{nodeId(2), nodeId(3), nodeId(9)}));
   exchange(member, diskless);
   EXPECT_EQ(diskless.core().members, (std::vector<NodeId>{nodeId(1), nodeId(2), nodeId(3)}));
 }
@@ -37,15 +37,15 @@
   auto one = make(1, {nodeId(9)});
   unsigned sent = 0;
   for (now = 0; now < 10000; now += 100)
-    for (const NodeId& peer : one.takeDue(now)) {
+    for (const NodeId& peer : one.takeDuePeers(now)) {
       ++sent;
       one.recordFailure(now, peer);
     }
   EXPECT_GE(sent, 10u) << "at least once a second, however often it has failed";
   auto seed = make(9, {nodeId(8)});
   exchange(one, seed);
-  EXPECT_TRUE(one.takeDue(now + 100).empty());
-  EXPECT_FALSE(one.takeDue(now + 4000).empty()) << "it may have lost what it was sent";
+  EXPECT_TRUE(one.takeDuePeers(now + 100).empty());
+  EXPECT_FALSE(one.takeDuePeers(now + 4000).empty()) << "it may have lost what it was sent";
 }
 
 TEST_F(PeerDirectoryTest, ForwardsANewViewToPeersThatLackIt) {
@@ -56,7 +56,7 @@
   member.setLocalView({7, {nodeId(1)}}, true);
   now = 1000;
   exchange(member, middle);
-  const auto due = middle.takeDue(now);
+  const auto due = middle.takeDuePeers(now);
   EXPECT_NE(std::find(due.begin(), due.end(), nodeId(9)), due.end());
 }
 
@@ -92,14 +92,14 @@
 
 TEST_F(PeerDirectoryTest, AnnouncesToRememberedPeers) {
   auto one = make(1, {nodeId(8)}, {nodeId(9)});
-  EXPECT_EQ(one.takeDue(now), (std::vector<NodeId>{nodeId(8), nodeId(9)}));
+  EXPECT_EQ(one.takeDuePeers(now), (std::vector<NodeId>{nodeId(8), nodeId(9)}));
 }
 
 TEST_F(PeerDirectoryTest, AnnouncesToNewSeedsAtOnce) {
   auto one = make(1, {nodeId(8)});
-  one.takeDue(now);
+  one.takeDuePeers(now);
   one.setSeeds({nodeId(7)});
-  EXPECT_EQ(one.takeDue(now), std::vector<NodeId>{nodeId(7)});
+  EXPECT_EQ(one.takeDuePeers(now), std::vector<NodeId>{nodeId(7)});
 }
 
 }  // namespace
