--- a/src/fleet/follow_codec.cpp
+++ b/src/fleet/follow_codec.cpp
@@ -36,7 +36,7 @@
   json out = json::array();
   for (const ShareDemand& demand : demands) {
     out.push_back({demand.tenant, unitsUp(demand.requestRate), unitsUp(demand.reserve),
-                   unitsUp(demand.grantedRate), demand.grantNumber, unitsUp(demand.waiting),
+                   unitsUp(demand.grantedRate), demand.grantNumber, unitsUp(demand.waitingRequests),
                    unitsUp(demand.requestedTokens)});
     if (demand.returnedTokens > 0) out.back().push_back(unitsDown(demand.returnedTokens));
   }
@@ -52,7 +52,7 @@
     demand.reserve = fromUnits(each.at(2));
     demand.grantedRate = fromUnits(each.at(3));
     each.at(4).get_to(demand.grantNumber);
-    demand.waiting = fromUnits(each.at(5));
+    demand.waitingRequests = fromUnits(each.at(5));
     demand.requestedTokens = fromUnits(each.at(6));
     if (each.size() > 7) demand.returnedTokens = fromUnits(each.at(7));
     out.push_back(std::move(demand));
@@ -84,14 +84,14 @@
 
 // --- Parts of a request
 
-json ratesToJson(const RequestSums::Rates& rates) {
+json ratesToJson(const RequestRateSums::Rates& rates) {
   json out = json::object();
   for (const auto& [service, perSecond] : rates) out[service] = unitsUp(perSecond);
   return out;
 }
 
-RequestSums::Rates ratesFromJson(const json& in) {
-  RequestSums::Rates out;
+RequestRateSums::Rates ratesFromJson(const json& in) {
+  RequestRateSums::Rates out;
   for (const auto& [service, perSecond] : in.items()) out[service] = fromUnits(perSecond);
   return out;
 }
--- a/src/fleet/follow_messages.hpp
+++ b/src/fleet/follow_messages.hpp
@@ -41,7 +41,7 @@
   // It stops following here: the demands say what it gives back and what it still answers for.
   bool detaching = false;
   std::vector<ShareDemand> demands;       // of the tenants' quotas
-  RequestSums::Rates requestRates;        // requests per second, by service
+  RequestRateSums::Rates requestRates;    // requests per second, by service
   std::vector<ShareDemand> retryDemands;  // of the services' retry budgets
   std::uint64_t relayListHash = 0;        // of the relay list that it has; 0: none
   std::optional<RelayReport> relay;       // set: the follower is a relay
--- a/src/fleet/primary_service.cpp
+++ b/src/fleet/primary_service.cpp
@@ -81,7 +81,7 @@
     retries =
         retries_->handleReport(now, request.name, request.requestRates, request.retryDemands, request.full);
   GrantReply quotas = shares_.handleReport(now, request.name, request.demands, request.full);
-  response.known = quotas.known && (!retries || retries->known);
+  response.known = quotas.isHolderKnown && (!retries || retries->isHolderKnown);
   response.quotaGrants = {quotas.grantNumber, std::move(quotas.grants)};
   if (retries) response.retryGrants = {retries->grantNumber, std::move(retries->grants)};
 }
--- a/src/fleet/relay.cpp
+++ b/src/fleet/relay.cpp
@@ -63,7 +63,7 @@
 void Relay::grant(Millis now, const FollowRequest& request, FollowResponse& response) {
   GrantReply quotas = quotas_.handleReport(now, request.name, request.demands, request.full);
   GrantReply retries = retries_.handleReport(now, request.name, request.retryDemands, request.full);
-  response.known = quotas.known && retries.known;
+  response.known = quotas.isHolderKnown && retries.isHolderKnown;
   response.quotaGrants = {quotas.grantNumber, std::move(quotas.grants)};
   response.retryGrants = {retries.grantNumber, std::move(retries.grants)};
 }
--- a/src/fleet/relay.hpp
+++ b/src/fleet/relay.hpp
@@ -62,7 +62,7 @@
   const Millis startedAt_;
   ChangeLog log_;
   ShareRelay quotas_, retries_;
-  RequestSums requestRates_;
+  RequestRateSums requestRates_;
   std::vector<RelayEndpoint> relays_;  // all of them, as the primary listed them
   std::uint64_t relayListHash_ = 0;
   std::size_t gatekeepers_ = 0;  // in the whole system, as the primary reported
--- a/src/quota/admission.cpp
+++ b/src/quota/admission.cpp
@@ -111,7 +111,7 @@
   const double untilToken = 1000 * (1 - bucket.tokens) / std::max(bucket.grantedRate, kMinRefillRate);
   const Millis retryAfter = std::clamp(untilToken, kMinRetryAfter, kMaxRetryAfter);
   if (hasToken || isDisconnected(now) || now < bucket.exhaustedUntil) return {false, false, retryAfter};
-  bucket.waiting += 1;
+  bucket.waitingRequests += 1;
   need_ = Need::waiting;
   return {false, true, retryAfter};
 }
@@ -152,7 +152,7 @@
   out.reserve = bucket.tokens;
   out.grantedRate = bucket.grantedRate;
   out.grantNumber = bucket.grantNumber;
-  out.waiting = bucket.waiting;
+  out.waitingRequests = bucket.waitingRequests;
   out.requestedTokens = reserveFor(timing(), reportedRate);
   return out;
 }
@@ -161,14 +161,14 @@
   std::vector<ShareDemand> out;
   for (Bucket& bucket : buckets_) {
     if (!limited_.contains(bucket.tenant)) continue;
-    if (scope == ReportScope::urgent && bucket.waiting == 0 && !bucket.isLow) continue;
+    if (scope == ReportScope::urgent && bucket.waitingRequests == 0 && !bucket.isLow) continue;
     fill(bucket, now);
     ShareDemand demand = demandOf(bucket, now);
     const bool isUnchanged = !bucket.hasChanged && !isWorthReporting(demand.requestRate, bucket.reportedRate);
     if (scope == ReportScope::delta && isUnchanged) continue;
     bucket.reportedRate = demand.requestRate;
-    bucket.reportedWaiting = bucket.waiting;
-    bucket.waiting = 0;
+    bucket.reportedWaitingRequests = bucket.waitingRequests;
+    bucket.waitingRequests = 0;
     bucket.hasChanged = bucket.isLow = false;
     bucket.isInFlight = true;
     out.push_back(std::move(demand));
@@ -196,7 +196,7 @@
     for (Bucket& bucket : buckets_) fill(bucket, now);
   renewLease(sentAt, leaseUntil);
   for (Bucket& bucket : buckets_) {
-    bucket.waiting = 0;  // requests that still wait ask again
+    bucket.waitingRequests = 0;  // requests that still wait ask again
     bucket.isInFlight = false;
   }
 }
@@ -210,15 +210,15 @@
   bucket.tokens += grant.tokens;
   bucket.unexecutedTokens += grant.tokens;
   bucket.periodGranted += std::max(0.0, grant.tokens);
-  const bool isExhausted =
-      bucket.reportedWaiting > 0 && bucket.tokens < kOneToken * bucket.reportedWaiting && !grant.moreExpected;
+  const bool isExhausted = bucket.reportedWaitingRequests > 0 &&
+                           bucket.tokens < kOneToken * bucket.reportedWaitingRequests && !grant.moreExpected;
   if (isExhausted) bucket.exhaustedUntil = now + kExhaustedFor;
 }
 
 void Admission::requestFailed() {
   for (Bucket& bucket : buckets_) {
     bucket.hasChanged = bucket.hasChanged || bucket.isInFlight;
-    bucket.waiting = 0;
+    bucket.waitingRequests = 0;
     bucket.isInFlight = false;
   }
 }
--- a/src/quota/admission.hpp
+++ b/src/quota/admission.hpp
@@ -64,14 +64,14 @@
 
     double newRequests = 0;  // since `countedFrom`
     Millis countedFrom = 0;
-    double requestRate = 0;          // requests a second
-    double reportedRate = 0;         // the same in the last report
-    double waiting = 0;              // requests that found no token since the last report
-    double reportedWaiting = 0;      // those of the last report
-    Millis exhaustedUntil = kNever;  // the relay has no tokens for now
-    bool hasChanged = true;          // since the last report
-    bool isInFlight = false;         // reported in the request that is not answered yet
-    bool isLow = false;              // the reserve was found low since the last report
+    double requestRate = 0;              // requests a second
+    double reportedRate = 0;             // the same in the last report
+    double waitingRequests = 0;          // requests that found no token since the last report
+    double reportedWaitingRequests = 0;  // those of the last report
+    Millis exhaustedUntil = kNever;      // the relay has no tokens for now
+    bool hasChanged = true;              // since the last report
+    bool isInFlight = false;             // reported in the request that is not answered yet
+    bool isLow = false;                  // the reserve was found low since the last report
   };
   Bucket& lookUp(Millis now, const std::string& tenant);
   Bucket& addBucket(Millis now, const std::string& tenant);
--- a/src/quota/grant_policy.cpp
+++ b/src/quota/grant_policy.cpp
@@ -32,8 +32,8 @@
 // The part of the bucket that the holder may take.
 double bucketPart(const GrantTable& table, const Holding& holding, double bucket, double target) {
   const GrantTable::Sums& sums = table.sums;
-  const bool isScarce =
-      bucket < sums.requestedTokens + sums.waiting - sums.tokens && sums.requestRate > table.quota.rate;
+  const bool isScarce = bucket < sums.requestedTokens + sums.waitingRequests - sums.tokens &&
+                        sums.requestRate > table.quota.rate;
   if (!isScarce || target <= 0) return 1;
   return std::min(1.0, 2 * holding.requestRate / std::max(sums.requestRate, kLeastDivisor));
 }
@@ -44,8 +44,9 @@
 
 double rateToGrant(const GrantTable& table, const Holding& holding) {
   const double count = static_cast<double>(std::max<std::size_t>(1, table.holdings.size()));
-  const double byDemand =
-      table.sums.usualRate > 0 ? std::max(0.0, holding.usualRate) / table.sums.usualRate : 1 / count;
+  const double byDemand = table.sums.averageRequestRate > 0
+                              ? std::max(0.0, holding.averageRequestRate) / table.sums.averageRequestRate
+                              : 1 / count;
   const double part = table.quota.rate * (kEvenPart / count + (1 - kEvenPart) * byDemand);
   const double current = holding.effectiveRate();
   const double room = std::max(0.0, table.quota.rate - (table.sums.effectiveRate - current));
@@ -55,7 +56,7 @@
 
 double tokensToGrant(const GrantTable& table, const Holding& holding, BucketRefill refill, bool wholeTokens) {
   const double target = targetReserve(table, holding, refill, wholeTokens);
-  const double missing = target + holding.waiting - holding.reserve;
+  const double missing = target + holding.waitingRequests - holding.reserve;
   if (missing < 0) return missing < -kToleratedExcess ? missing : 0;
   const double bucket = std::max(0.0, table.bucket);
   double tokens = std::max(std::min(missing, bucket * bucketPart(table, holding, bucket, target)),
--- a/src/quota/grant_table.cpp
+++ b/src/quota/grant_table.cpp
@@ -5,16 +5,18 @@
 namespace lilacmux {
 namespace {
 
-constexpr double kUsualRateWeight = 0.06;  // of each reported request rate in its running average
+constexpr double kAverageRequestRateWeight = 0.06;  // of each reported request rate in its running average
 
 }  // namespace
 
 void Holding::setReported(const ShareDemand& demand) {
   reserve = demand.reserve;
   requestRate = demand.requestRate;
-  usualRate =
-      usualRate < 0 ? demand.requestRate : usualRate + kUsualRateWeight * (demand.requestRate - usualRate);
-  waiting = demand.waiting;
+  averageRequestRate =
+      averageRequestRate < 0
+          ? demand.requestRate
+          : averageRequestRate + kAverageRequestRateWeight * (demand.requestRate - averageRequestRate);
+  waitingRequests = demand.waitingRequests;
   requestedTokens = demand.requestedTokens;
 }
 
@@ -46,8 +48,8 @@
   sums.requestedTokens += sign * holding.requestedTokens;
   sums.effectiveRate += sign * holding.effectiveRate();
   sums.confirmedRate += sign * holding.confirmedRate;
-  sums.waiting += sign * holding.waiting;
-  sums.usualRate += sign * std::max(0.0, holding.usualRate);
+  sums.waitingRequests += sign * holding.waitingRequests;
+  sums.averageRequestRate += sign * std::max(0.0, holding.averageRequestRate);
 }
 
 }  // namespace lilacmux
--- a/src/quota/grant_table.hpp
+++ b/src/quota/grant_table.hpp
@@ -20,20 +20,20 @@
 
 // What one holder has of one tenant.
 struct Holding {
-  double requestRate = 0;    // requests a second
-  double reserve = 0;        // tokens, as reported
-  double inTransit = 0;      // tokens granted and not yet confirmed; below 0: asked back
-  double confirmedRate = 0;  // tokens a second that it may use while it is disconnected
-  double offeredRate = 0;    // the same by the newest grant, which may not have arrived
-  double waiting = 0;        // requests without a token
+  double requestRate = 0;      // requests a second
+  double reserve = 0;          // tokens, as reported
+  double inTransit = 0;        // tokens granted and not yet confirmed; below 0: asked back
+  double confirmedRate = 0;    // tokens a second that it may use while it is disconnected
+  double offeredRate = 0;      // the same by the newest grant, which may not have arrived
+  double waitingRequests = 0;  // requests without a token
   double requestedTokens = 0;
-  double usualRate = -1;          // its request rate, averaged over some seconds; below 0: not reported yet
-  std::uint64_t grantNumber = 0;  // of the newest grant
+  double averageRequestRate = -1;  // its request rate, averaged over some seconds; below 0: not reported yet
+  std::uint64_t grantNumber = 0;   // of the newest grant
 
   // The rate to reckon with: the grant in transit may or may not have arrived.
   double effectiveRate() const { return confirmedRate > offeredRate ? confirmedRate : offeredRate; }
   // Waiting requests that its own reserve does not serve.
-  double unservedRequests() const { return std::max(0.0, waiting - std::max(0.0, reserve)); }
+  double unservedRequests() const { return std::max(0.0, waitingRequests - std::max(0.0, reserve)); }
   // Takes over what the holder reports, but for the grants in transit.
   void setReported(const ShareDemand& demand);
 };
@@ -48,8 +48,8 @@
     double requestedTokens = 0;
     double effectiveRate = 0;
     double confirmedRate = 0;
-    double waiting = 0;
-    double usualRate = 0;
+    double waitingRequests = 0;
+    double averageRequestRate = 0;
   };
 
   Quota quota;
--- a/src/quota/request_sums.hpp
+++ b/src/quota/request_sums.hpp
@@ -10,7 +10,7 @@
 
 namespace lilacmux {
 
-class RequestSums {
+class RequestRateSums {
  public:
   using Millis = double;
   using Rates = std::map<std::string, double>;  // requests a second, by service
--- a/src/quota/retry_ledger.hpp
+++ b/src/quota/retry_ledger.hpp
@@ -24,7 +24,7 @@
 class RetryLedger {
  public:
   using Millis = ShareLedger::Millis;
-  using Rates = RequestSums::Rates;
+  using Rates = RequestRateSums::Rates;
 
   // `unconfirmed` and `firstGrant` as for `ShareLedger`.
   RetryLedger(const RetryRule& rule, Millis now, const std::set<std::string>& unconfirmed,
@@ -41,7 +41,7 @@
  private:
   const RetryRule rule_;
   ShareLedger shares_;
-  RequestSums requests_;
+  RequestRateSums requests_;
 };
 
 }  // namespace lilacmux
--- a/src/quota/share_ledger.cpp
+++ b/src/quota/share_ledger.cpp
@@ -148,7 +148,7 @@
   GrantReply reply;
   if (!holders_.contains(holder)) {
     if (!isFull) {
-      reply.known = false;
+      reply.isHolderKnown = false;
       return reply;
     }
     holders_.reported(now, holder);
@@ -195,7 +195,7 @@
     // Waiting requests use their tokens at once, long before that is reported: those are gone from here on.
     const double unserved = holding.unservedRequests();
     const double used = std::clamp(tokens, 0.0, unserved);
-    holding.waiting = unserved - used;
+    holding.waitingRequests = unserved - used;
     holding.inTransit = tokens - used;
   });
   if (tokens > 0) table.bucket -= tokens;
@@ -226,7 +226,7 @@
   table.update(holding, [&] {
     table.applyDemand(holding, rest, true);
     holding.confirmedRate = rest.grantedRate;
-    holding.usualRate = 0;
+    holding.averageRequestRate = 0;
   });
   table.bucket += std::clamp(rest.returnedTokens, 0.0, std::max(0.0, reserveBefore - rest.reserve));
   capBucket(table);
@@ -241,7 +241,7 @@
   Totals out;
   out.requestRate = table.sums.requestRate;
   out.reserve = table.bucket + table.sums.tokens;
-  out.waiting = table.sums.waiting;
+  out.waitingRequests = table.sums.waitingRequests;
   out.grantedRate = table.sums.effectiveRate;
   out.bucket = table.bucket;
   out.requestedTokens = table.sums.requestedTokens;
@@ -249,7 +249,7 @@
     out.unresponsiveReserve += std::max(0.0, holding.reserve) + std::max(0.0, holding.inTransit);
     out.requestedTokens -= holding.requestedTokens;
     out.requestRate -= holding.requestRate;
-    out.waiting -= holding.waiting;
+    out.waitingRequests -= holding.waitingRequests;
   });
   return out;
 }
--- a/src/quota/share_ledger.hpp
+++ b/src/quota/share_ledger.hpp
@@ -65,7 +65,7 @@
   struct Totals {
     double requestRate = 0;          // requests a second
     double reserve = 0;              // tokens in the bucket, in reserves and in transit
-    double waiting = 0;              // requests without a token
+    double waitingRequests = 0;      // requests without a token
     double grantedRate = 0;          // tokens a second
     double bucket = 0;               // tokens of `reserve` that are not granted
     double requestedTokens = 0;      // of the responsive holders
--- a/src/quota/share_messages.hpp
+++ b/src/quota/share_messages.hpp
@@ -15,7 +15,7 @@
   double reserve = 0;             // tokens that it holds, those that it has sub-granted included
   double grantedRate = 0;         // tokens a second that it may use while it is disconnected
   std::uint64_t grantNumber = 0;  // the newest grant that it has applied; 0: none
-  double waiting = 0;             // requests that wait for a token now
+  double waitingRequests = 0;     // requests that wait for a token now
   double requestedTokens = 0;     // the reserve that its demand calls for; 0: none beside `waiting`
   double returnedTokens = 0;      // tokens that it gives back as it leaves
 };
@@ -30,7 +30,7 @@
 
 // The ledger's reply to one report.
 struct GrantReply {
-  bool known = true;  // false: nothing is granted before the holder has sent a full report
+  bool isHolderKnown = true;  // false: nothing is granted before the holder has sent a full report
   std::uint64_t grantNumber = 0;
   std::vector<ShareGrant> grants;  // one for each demand of the report, in its order
 };
--- a/src/quota/share_relay.cpp
+++ b/src/quota/share_relay.cpp
@@ -59,13 +59,13 @@
     if (grants_.try_emplace(demand.tenant).second) setSubGrantRate(now, demand.tenant, 0);
   for (const ShareDemand& demand : demands) fillDisconnected(now, demand.tenant);
   GrantReply reply = ledger_->handleReport(now, gatekeeper, demands, isFull);
-  if (!reply.known) return reply;
+  if (!reply.isHolderKnown) return reply;
   for (std::size_t i = 0; i < demands.size(); ++i) {
     const ShareDemand& demand = demands[i];
     ShareGrant& grant = reply.grants[i];
     noteChange(now, demand.tenant);
     const bool lacksTokens =
-        demand.waiting > 0 && demand.reserve + grant.tokens + kTokenRounding < demand.waiting;
+        demand.waitingRequests > 0 && demand.reserve + grant.tokens + kTokenRounding < demand.waitingRequests;
     grant.moreExpected = lacksTokens && !isDisconnected(now) && now >= grants_[demand.tenant].exhaustedUntil;
   }
   return reply;
@@ -123,14 +123,14 @@
   const double requestRate = std::max(0.0, totals.requestRate);
   grant.isInFlight = true;
   // Waiting requests are asked for beside the reserve, as far as their tokens are not here.
-  grant.urgentTokens = std::max(0.0, totals.waiting - std::max(0.0, totals.bucket));
+  grant.urgentTokens = std::max(0.0, totals.waitingRequests - std::max(0.0, totals.bucket));
   ShareDemand out;
   out.tenant = tenant;
   out.requestRate = requestRate;
   out.reserve = totals.reserve;
   out.grantedRate = std::max(grant.rate, totals.grantedRate);
   out.grantNumber = grant.number;
-  out.waiting = grant.urgentTokens;
+  out.waitingRequests = grant.urgentTokens;
   out.requestedTokens =
       totals.requestedTokens + totals.unresponsiveReserve + reserveFor(timing(), requestRate);
   return out;
--- a/tests/golden/samples.hpp
+++ b/tests/golden/samples.hpp
@@ -165,7 +165,7 @@
   out.reserve = 2.0001;  // rounded up to a whole thousandth
   out.grantedRate = 3.5;
   out.grantNumber = 17;
-  out.waiting = 4;
+  out.waitingRequests = 4;
   out.requestedTokens = 5.75;
   out.returnedTokens = 0.1259;  // rounded down
   return out;
--- a/tests/quota/retry_ledger_test.cpp
+++ b/tests/quota/retry_ledger_test.cpp
@@ -94,7 +94,7 @@
       return node.budget.requestFailed();
     }
     const auto reply = ledger_->handleReport(now_, "g" + std::to_string(i), rates, demands, !node.known);
-    node.known = reply.known;
+    node.known = reply.isHolderKnown;
     node.budget.responseReceived(now_, now_, now_ + ShareTiming{}.lease);
     for (const auto& grant : reply.grants) node.budget.applyGrant(now_, grant, reply.grantNumber);
   }
--- a/tests/quota/share_ledger_test.cpp
+++ b/tests/quota/share_ledger_test.cpp
@@ -84,7 +84,7 @@
     if (node.isPartitioned) return fail(node);
     const auto reply = ledger_->handleReport(now_, "g" + std::to_string(i), demands, !node.known);
     if (chance() < lossRate) return fail(node);
-    node.known = reply.known;
+    node.known = reply.isHolderKnown;
     node.admission.responseReceived(now_, now_, now_ + ShareTiming{}.lease);
     for (const auto& grant : reply.grants) node.admission.applyGrant(now_, grant, reply.grantNumber);
   }
@@ -168,9 +168,9 @@
   ShareLedger ledger(ShareLedger::Refill::byQuota, ShareTiming{}, 0, {"a"}, 1 << 20);
   ledger.setQuota(0, "t", {10, 10});
   const auto reply = ledger.handleReport(500, "a", {{"t", 1, 0, 0, 0, 1, 2}}, false);
-  EXPECT_FALSE(reply.known);
+  EXPECT_FALSE(reply.isHolderKnown);
   EXPECT_TRUE(reply.grants.empty());
-  EXPECT_TRUE(ledger.handleReport(510, "a", {{"t", 1, 0, 5, 7, 1, 2}}, true).known);
+  EXPECT_TRUE(ledger.handleReport(510, "a", {{"t", 1, 0, 5, 7, 1, 2}}, true).isHolderKnown);
   EXPECT_GT(ledger.handleReport(900, "a", {{"t", 1, 0, 5, 7, 1, 2}}, false).grants[0].tokens, 0);
 }
 
