--- a/src/consensus/accepted_changes.cpp
+++ b/src/consensus/accepted_changes.cpp
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-AcceptedChanges::AcceptedChanges(std::uint64_t forgottenRevision, std::vector<AcceptedChange> entries)
-    : forgottenRevision_(forgottenRevision), entries_(std::move(entries)) {
-  std::uint64_t before = forgottenRevision_;
+AcceptedChanges::AcceptedChanges(std::uint64_t compactedRevision, std::vector<AcceptedChange> entries)
+    : compactedRevision_(compactedRevision), entries_(std::move(entries)) {
+  std::uint64_t before = compactedRevision_;
   for (const AcceptedChange& entry : entries_) {
     if (entry.revision <= before) throw std::invalid_argument("revisions of accepted changes do not rise");
     before = entry.revision;
@@ -41,7 +41,7 @@
   entries_.push_back(change);
   if (entries_.size() <= capacity) return;
   const auto kept = entries_.end() - static_cast<std::ptrdiff_t>(capacity);
-  forgottenRevision_ = std::prev(kept)->revision;
+  compactedRevision_ = std::prev(kept)->revision;
   entries_.erase(entries_.begin(), kept);
 }
 
@@ -60,13 +60,13 @@
   return out;
 }
 
-AcceptedChanges AcceptedChanges::unpack(std::uint64_t forgottenRevision, std::string_view packedEntries) {
+AcceptedChanges AcceptedChanges::unpack(std::uint64_t compactedRevision, std::string_view packedEntries) {
   if (packedEntries.size() % kEntryBytes != 0) throw std::invalid_argument("accepted changes are not whole");
   std::vector<AcceptedChange> entries;
   entries.reserve(packedEntries.size() / kEntryBytes);
   for (; !packedEntries.empty(); packedEntries.remove_prefix(kEntryBytes))
     entries.push_back(unpackEntry(packedEntries.substr(0, kEntryBytes)));
-  return AcceptedChanges(forgottenRevision, std::move(entries));
+  return AcceptedChanges(compactedRevision, std::move(entries));
 }
 
 }  // namespace lilacmux
--- a/src/consensus/accepted_changes.hpp
+++ b/src/consensus/accepted_changes.hpp
@@ -21,8 +21,8 @@
 class AcceptedChanges {
  public:
   AcceptedChanges() = default;
-  // Throws std::invalid_argument unless the revisions rise and lie above `forgottenRevision`.
-  AcceptedChanges(std::uint64_t forgottenRevision, std::vector<AcceptedChange> entries);
+  // Throws std::invalid_argument unless the revisions rise and lie above `compactedRevision`.
+  AcceptedChanges(std::uint64_t compactedRevision, std::vector<AcceptedChange> entries);
   // Of a state whose older changes were not kept by digest: only the current one is known.
   static AcceptedChanges onlyCurrent(std::uint64_t revision, std::string_view body);
 
@@ -30,19 +30,19 @@
   void add(const AcceptedChange& change, std::size_t capacity);
   bool contains(const Digest& digest) const;
   // Whether a change of this revision may have been accepted without being kept here.
-  bool mayHaveForgotten(std::uint64_t revision) const { return revision <= forgottenRevision_; }
+  bool mayHaveCompacted(std::uint64_t revision) const { return revision <= compactedRevision_; }
 
-  std::uint64_t forgottenRevision() const { return forgottenRevision_; }
+  std::uint64_t compactedRevision() const { return compactedRevision_; }
   const std::vector<AcceptedChange>& entries() const { return entries_; }  // by rising revision
   bool operator==(const AcceptedChanges&) const = default;
 
   // The entries in 40 bytes each: the revision, big-endian, and the digest.
   std::string packedEntries() const;
   // Throws std::invalid_argument as the constructor does, and where the length does not fit.
-  static AcceptedChanges unpack(std::uint64_t forgottenRevision, std::string_view packedEntries);
+  static AcceptedChanges unpack(std::uint64_t compactedRevision, std::string_view packedEntries);
 
  private:
-  std::uint64_t forgottenRevision_ = 0;
+  std::uint64_t compactedRevision_ = 0;
   std::vector<AcceptedChange> entries_;
 };
 
--- a/src/consensus/epoch_record.cpp
+++ b/src/consensus/epoch_record.cpp
@@ -17,7 +17,7 @@
   return std::binary_search(sorted.begin(), sorted.end(), node);
 }
 
-bool EpochRecord::has(const NodeId& node) const {
+bool EpochRecord::hasMember(const NodeId& node) const {
   return contains(members, node) || contains(oldMembers, node);
 }
 
--- a/src/consensus/epoch_record.hpp
+++ b/src/consensus/epoch_record.hpp
@@ -21,7 +21,7 @@
 };
 
 // Most undecided epochs that a record carries. Something counts as committed in those before them.
-constexpr std::size_t kMaxUndecided = 8;
+constexpr std::size_t kMaxUndecidedEpochs = 8;
 
 // What the members agree on for one epoch. A quorum that has accepted the record establishes the epoch.
 struct EpochRecord {
@@ -41,9 +41,11 @@
   ReplicaSet replicaSet() const { return {epoch, primary, backups}; }
   // The epoch whose state suffices for a new primary if nothing was committed in this one, whatever else is
   // known.
-  std::uint64_t strictPrevious() const { return undecided.empty() ? previous : undecided.front().epoch; }
+  std::uint64_t conservativePrevious() const {
+    return undecided.empty() ? previous : undecided.front().epoch;
+  }
   // Whether the node is a member or an old member.
-  bool has(const NodeId& node) const;
+  bool hasMember(const NodeId& node) const;
   bool isBackup(const NodeId& node) const;
   // Whether these nodes are a quorum: a majority of the members and, during a membership change, of the old
   // ones.
--- a/src/consensus/leader_election.cpp
+++ b/src/consensus/leader_election.cpp
@@ -6,11 +6,11 @@
 namespace lilacmux {
 namespace {
 
-constexpr Millis kVotesValidFor = 250;
+constexpr Millis kVoteValidity = 250;
 
 }  // namespace
 
-bool Election::isOpen(Millis now) const { return now - startedAt_ < kVotesValidFor; }
+bool Election::isOpen(Millis now) const { return now - startedAt_ < kVoteValidity; }
 
 const EpochRecord& Election::newestRecord(const DurableState& own) const {
   const EpochRecord* newest = &own.record;
@@ -90,9 +90,9 @@
   record.undecided = possiblyCommittedIn(own, record);
   record.previous = std::max(record.previous, established);
   std::erase_if(record.undecided, [&](const ReplicaSet& each) { return each.epoch <= record.previous; });
-  if (record.undecided.size() <= kMaxUndecided) return;
-  record.previous = record.undecided[kMaxUndecided].epoch;
-  record.undecided.resize(kMaxUndecided);
+  if (record.undecided.size() <= kMaxUndecidedEpochs) return;
+  record.previous = record.undecided[kMaxUndecidedEpochs].epoch;
+  record.undecided.resize(kMaxUndecidedEpochs);
 }
 
 // The voters with the newest state, which lack the least.
--- a/src/consensus/leader_election.hpp
+++ b/src/consensus/leader_election.hpp
@@ -23,7 +23,7 @@
   // Votes count for a short time only: after a pause, one may arrive whose voter has lost its disk since and
   // has voted for another in the same term.
   bool isOpen(Millis now) const;
-  void add(const MemberMessage& vote) { votes_[vote.from] = vote; }
+  void addVote(const MemberMessage& vote) { votes_[vote.from] = vote; }
   const std::map<NodeId, MemberMessage>& votes() const { return votes_; }
 
   // Whether the votes are a quorum of the newest record that any voter has, and the candidate, whose own
--- a/src/consensus/member_message.hpp
+++ b/src/consensus/member_message.hpp
@@ -34,7 +34,7 @@
   Millis sentAt = 0;
   // heartbeat: the `sentAt` of the receiver's newest announcement that the sender has had, below any clock if
   // it had none. Nothing: the sender's version does not tell.
-  std::optional<Millis> announcementSeen;
+  std::optional<Millis> lastAnnouncementSentAt;
   std::optional<ReplicatedState> state;  // replicate
 };
 
--- a/src/consensus/member_message_codec.cpp
+++ b/src/consensus/member_message_codec.cpp
@@ -19,7 +19,7 @@
 
 // Versions that know nothing of `undecided` take the second field for the state that is needed.
 json recordOf(const EpochRecord& r) {
-  json out = json::array({r.epoch, r.strictPrevious(), r.primary, r.backups, r.members, r.oldMembers});
+  json out = json::array({r.epoch, r.conservativePrevious(), r.primary, r.backups, r.members, r.oldMembers});
   if (!r.undecided.empty()) out.insert(out.end(), {r.previous, r.undecided});
   return out;
 }
@@ -64,7 +64,7 @@
   out.head["state"] = {{"sequence", state.sequence},
                        {"revision", state.revision},
                        {"accepted", base64Of(state.accepted.packedEntries())},
-                       {"forgottenRevision", state.accepted.forgottenRevision()},
+                       {"forgottenRevision", state.accepted.compactedRevision()},
                        {"taken", json::array()},
                        {"holders", state.grantHolders}};
   if (state.body) out.body = *state.body;
@@ -110,12 +110,12 @@
               {"settled", m.establishedEpoch},
               {"seq", m.sequence},
               {"at", m.sentAt}};
-  if (m.announcementSeen) out.head["seen"] = *m.announcementSeen;
+  if (m.lastAnnouncementSentAt) out.head["seen"] = *m.lastAnnouncementSentAt;
   if (m.state) addState(*m.state, out);
   return out;
 }
 
-std::optional<MemberMessage> memberMessageOf(Frame&& frame) {
+std::optional<MemberMessage> decodeMemberMessage(Frame&& frame) {
   const std::string kind = kindOf(frame);
   const auto name = std::find(std::begin(kNames), std::end(kNames), kind);
   if (name == std::end(kNames)) return std::nullopt;
@@ -132,7 +132,7 @@
     out.establishedEpoch = in.value("settled", std::uint64_t{0});  // not told by the first versions
     in.at("seq").get_to(out.sequence);
     in.at("at").get_to(out.sentAt);
-    if (in.contains("seen")) out.announcementSeen = in.at("seen").get<Millis>();
+    if (in.contains("seen")) out.lastAnnouncementSentAt = in.at("seen").get<Millis>();
     if (in.contains("state")) out.state = stateFrom(in.at("state"), std::move(frame.body));
     return out;
   });
--- a/src/consensus/member_message_codec.hpp
+++ b/src/consensus/member_message_codec.hpp
@@ -14,6 +14,6 @@
 
 Frame toFrame(const MemberMessage& message);
 // Nothing: the frame is not a message between members, or is malformed.
-std::optional<MemberMessage> memberMessageOf(Frame&& frame);
+std::optional<MemberMessage> decodeMemberMessage(Frame&& frame);
 
 }  // namespace lilacmux
--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -17,7 +17,7 @@
       timing_(timing),
       host_(host),
       startedAt_(now),
-      firstStart_(bootstrap && !stored),
+      isFirstStart_(bootstrap && !stored),
       diskIsEmpty_(!bootstrap && !stored) {
   if (stored) durable_ = std::move(*stored);
   if (durable_.record.members.empty() && bootstrap) {
@@ -27,7 +27,7 @@
   }
 }
 
-bool Replica::isMember() const { return durable_.record.has(self_); }
+bool Replica::isMember() const { return durable_.record.hasMember(self_); }
 
 bool Replica::persist() {
   if (failed_) return false;
@@ -84,7 +84,7 @@
     case MemberMessage::Kind::replicateAck:
       return onReplicateAck(now, message);
     case MemberMessage::Kind::resign:
-      if (message.from != leader_) return;
+      if (message.from != knownPrimary_) return;
       lastHeartbeatAt_ = kNever;
       noElectionBefore_ = now;
       return;
@@ -95,10 +95,10 @@
   if (failed_ || resigned_) return;
   // Members announce themselves only while they know of no primary; observers always, so that it sends them
   // heartbeats.
-  const bool knowsPrimary = primary_ || boundByLease(now);
+  const bool knowsPrimary = primary_ || isBoundByLease(now);
   if (now - lastAnnouncedAt_ >= kAnnounceEvery && (!isMember() || !knowsPrimary)) announce(now);
   if (!isMember()) {
-    if (now - lastHeartbeatAt_ > kObserverLeases * timing_.lease) leader_.clear();
+    if (now - lastHeartbeatAt_ > kObserverLeases * timing_.leaseDuration) knownPrimary_.clear();
     return;
   }
   primary_ ? tickPrimary(now) : tickFollower(now);
@@ -121,16 +121,16 @@
 
 void Replica::tickPrimary(Millis now) {
   // Before any heartbeat: after a freeze nobody may hear of a primary that may have been replaced.
-  if (now >= std::max(leaseUntil(now), electedAt_ + timing_.lease)) {
+  if (now >= std::max(leaseUntil(now), electedAt_ + timing_.leaseDuration)) {
     stepDown("no majority has answered for a lease's time");
     noElectionBefore_ = now + timing_.electionStagger;
     return;
   }
-  if (now - heartbeatSentAt_ >= timing_.heartbeatEvery) sendHeartbeats(now);
+  if (now - heartbeatSentAt_ >= timing_.heartbeatInterval) sendHeartbeats(now);
   if (!established_) replicate(now);
-  if (now - quorumAckedAt(now) > timing_.quorumContact) return;
+  if (now - quorumAckedAt(now) > timing_.quorumContactTimeout) return;
   if (replaceMember(now)) return;
-  replaceSilentBackups(now);
+  replaceUnresponsiveBackups(now);
 }
 
 void Replica::resign() {
--- a/src/consensus/replica.hpp
+++ b/src/consensus/replica.hpp
@@ -44,31 +44,31 @@
   virtual void send(const NodeId& to, const MemberMessage& message) = 0;
   // Returns once the state survives a power loss; false: it does not, and the node must stop.
   virtual bool store(const DurableState& durable) = 0;
-  virtual void committed(const ReplicatedState& state) = 0;  // at the primary, once the change is committed
-  virtual void lostPrimacy() = 0;                            // a pending proposal may or may not be committed
+  virtual void onCommitted(const ReplicatedState& state) = 0;  // at the primary, once the change is committed
+  virtual void onPrimacyLost() = 0;  // a pending proposal may or may not be committed
   virtual void log(const std::string& line) = 0;
 };
 
 class Replica {
  public:
   struct Timing {
-    Millis heartbeatEvery = 200;
-    Millis lease = 1100;
-    Millis leaseMargin = 100;      // subtracted at the primary, for clock drift
-    Millis electionStagger = 100;  // between members that may start an election
-    Millis backupTimeout = 800;    // without a message, until another member becomes the backup
+    Millis heartbeatInterval = 200;
+    Millis leaseDuration = 1100;
+    Millis clockDriftMargin = 100;  // subtracted at the primary, for clock drift
+    Millis electionStagger = 100;   // between members that may start an election
+    Millis backupTimeout = 800;     // without a message, until another member becomes the backup
     // A member with an empty disk accepts no record and does not vote for this long.
-    Millis listenBeforeJoining = 2000;
+    Millis emptyDiskJoinDelay = 2000;
     // Without a message, until an observer replaces a member. With a failover before it (2.2 s) and the two
     // records of the change, less than the 4 s for which a machine that returns counts as lost.
     Millis memberTimeout = 1600;
-    Millis resendAfter = 400;  // of the state, to a backup that has not acknowledged it
-    unsigned losses = 1;       // disks lost at once that the core tolerates
+    Millis resendInterval = 400;   // of the state, to a backup that has not acknowledged it
+    unsigned toleratedLosses = 1;  // disks lost at once that the core tolerates
     // Between the elections by which a primary wins back members that voted in another term.
-    Millis reelectAfter = 500;
+    Millis reelectionInterval = 500;
     // Other backups or members are chosen only while a quorum has answered a heartbeat sent that recently: a
     // primary that is being partitioned would open an epoch that nobody else hears of.
-    Millis quorumContact = 500;
+    Millis quorumContactTimeout = 500;
   };
 
   // `seeds`: the configured control nodes, with or without this one. `bootstrap`: the whole system starts for
@@ -92,7 +92,7 @@
   const ReplicatedState& committed() const { return *committed_; }
   std::uint64_t epoch() const { return durable_.record.epoch; }
   // The primary, as far as this node knows; empty: unknown.
-  const NodeId& leader() const { return leader_; }
+  const NodeId& knownPrimary() const { return knownPrimary_; }
   const std::vector<NodeId>& members() const { return durable_.record.members; }
   const DurableState& durable() const { return durable_; }
   bool isPrimary() const { return primary_; }
@@ -102,26 +102,26 @@
 
  private:
   struct Peer {
-    Millis ackedSentAt = kNever;  // when the newest heartbeat that it accepted was sent
-    Millis heardAt = kNever;
+    Millis ackedHeartbeatSentAt = kNever;  // when the newest heartbeat that it accepted was sent
+    Millis lastContactAt = kNever;
     std::uint64_t acceptedEpoch = 0;
     // In this epoch: when the state was last sent to it, and the newest change that it has on disk.
-    Millis replicatedAt = kNever;
-    std::optional<std::uint64_t> replicatedSequence;
+    Millis stateSentAt = kNever;
+    std::optional<std::uint64_t> ackedSequence;
   };
 
   std::set<NodeId> memberSet() const;
   Millis quorumAckedAt(Millis now) const;
   Millis leaseUntil(Millis now) const;
-  bool boundByLease(Millis now) const;  // granted by this node, or perhaps before its restart
+  bool isBoundByLease(Millis now) const;  // granted by this node, or perhaps before its restart
   bool mayVoteFor(Millis now, const NodeId& candidate) const;
-  bool isCollecting(Millis now, Election::Phase phase) const;
+  bool isCollectingVotes(Millis now, Election::Phase phase) const;
   bool persist();
   void broadcast(const MemberMessage& message);
   void sendToPossibleVoters(const MemberMessage& message);
   void requestVotes();
   void learnMembers(const EpochRecord& theirs);
-  void dropSilentObservers(Millis now);
+  void dropUnresponsiveObservers(Millis now);
   MemberMessage makeMessage(MemberMessage::Kind kind) const;
 
   void onAnnounce(Millis now, const MemberMessage& message);
@@ -147,7 +147,7 @@
   void startElection(Millis now);
   std::uint64_t nextTerm() const;
   void openEpoch(Millis now, const EpochRecord& record);
-  bool backupsUpToDate();
+  bool areBackupsUpToDate();
   void replicate(Millis now);
   void replicateTo(Millis now, const NodeId& backup);
   void tryCommit(Millis now);
@@ -156,8 +156,8 @@
   std::vector<NodeId> chooseBackups(Millis now, std::vector<NodeId> backups) const;
   void openNextEpoch(Millis now, EpochRecord next);
   bool replaceMember(Millis now);
-  bool replaceSilentBackups(Millis now);
-  Millis heardAt(const NodeId& node) const;
+  bool replaceUnresponsiveBackups(Millis now);
+  Millis lastContactAt(const NodeId& node) const;
 
   const NodeId self_;
   std::vector<NodeId> contacts_;  // at first the seeds
@@ -165,18 +165,18 @@
   ReplicaHost& host_;
   DurableState durable_;
   const Millis startedAt_;
-  bool firstStart_;   // no vote or lease can have been given before this start
-  bool diskIsEmpty_;  // in a system that runs already; until a record has been accepted
+  bool isFirstStart_;  // no vote or lease can have been given before this start
+  bool diskIsEmpty_;   // in a system that runs already; until a record has been accepted
   bool failed_ = false;
   bool resigned_ = false;
 
-  std::uint64_t newestEpochSeen_ = 0;  // voted for by any member that has responded
-  NodeId leader_;
+  std::uint64_t highestVotedEpoch_ = 0;  // voted for by any member that has responded
+  NodeId knownPrimary_;
   Millis lastHeartbeatAt_ = kNever;
   Millis lastAnnouncedAt_ = kNever;
   std::optional<Election> election_;
   Millis noElectionBefore_ = 0;
-  bool lostElection_ = false;  // its last one, and no primary has been heard of since
+  bool lostLastElection_ = false;  // its last one, and no primary has been heard of since
 
   bool primary_ = false;
   bool established_ = false;      // a quorum has accepted the record and all backups have the state
--- a/src/consensus/replica_election.cpp
+++ b/src/consensus/replica_election.cpp
@@ -11,7 +11,8 @@
 bool Replica::mayVoteFor(Millis now, const NodeId& candidate) const {
   if (diskIsEmpty_) return false;
   if (primary_) return now >= leaseUntil(now);
-  return !boundByLease(now) || (candidate == durable_.votedFor && (leader_.empty() || leader_ == candidate));
+  return !isBoundByLease(now) ||
+         (candidate == durable_.votedFor && (knownPrimary_.empty() || knownPrimary_ == candidate));
 }
 
 // To all that may be members and have not voted yet: this node's own record may not be the newest.
@@ -33,13 +34,13 @@
 }
 
 void Replica::tickFollower(Millis now) {
-  if (boundByLease(now) || diskIsEmpty_) return;
+  if (isBoundByLease(now) || diskIsEmpty_) return;
   if (election_ && election_->isOpen(now)) return requestVotes();
-  if (election_ && election_->phase() == Election::Phase::vote) lostElection_ = true;
+  if (election_ && election_->phase() == Election::Phase::vote) lostLastElection_ = true;
   election_.reset();
   if (noElectionBefore_ <= 0) noElectionBefore_ = now + electionDelay();
   if (now < noElectionBefore_) return;
-  leader_.clear();
+  knownPrimary_.clear();
   startPrevote(now);
 }
 
@@ -48,7 +49,7 @@
 Millis Replica::electionDelay() const {
   const auto& members = durable_.record.members;
   const auto place = std::lower_bound(members.begin(), members.end(), self_) - members.begin();
-  if (lostElection_) {
+  if (lostLastElection_) {
     const std::uint64_t drawn = XXH3_64bits_withSeed(self_.data(), self_.size(), durable_.votedEpoch);
     return timing_.electionStagger * static_cast<double>(drawn % (2 * members.size()));
   }
@@ -76,17 +77,17 @@
 }
 
 void Replica::onPrevote(Millis now, const MemberMessage& message) {
-  newestEpochSeen_ = std::max(newestEpochSeen_, message.epoch);
+  highestVotedEpoch_ = std::max(highestVotedEpoch_, message.epoch);
   learnMembers(message.record);
-  if (!isCollecting(now, Election::Phase::prevote) || !message.granted) return;
-  election_->add(message);
+  if (!isCollectingVotes(now, Election::Phase::prevote) || !message.granted) return;
+  election_->addVote(message);
   if (election_->isWon(durable_)) startElection(now);
 }
 
 void Replica::startElection(Millis now) {
   durable_.votedEpoch = nextTerm();
   durable_.votedFor = self_;
-  noElectionBefore_ = primary_ ? now + timing_.reelectAfter : 0;
+  noElectionBefore_ = primary_ ? now + timing_.reelectionInterval : 0;
   if (!persist()) return;
   election_.emplace(self_, Election::Phase::vote, durable_.votedEpoch, now);
   if (election_->isWon(durable_)) return becomePrimary(now);
@@ -107,33 +108,35 @@
   durable_.votedFor = message.from;
   if (!persist()) return;
   election_.reset();
-  noElectionBefore_ = now + timing_.lease;
+  noElectionBefore_ = now + timing_.leaseDuration;
   response.granted = true;
   response.epoch = message.epoch;
   host_.send(message.from, response);
 }
 
-bool Replica::isCollecting(Millis now, Election::Phase phase) const {
+bool Replica::isCollectingVotes(Millis now, Election::Phase phase) const {
   return election_ && election_->phase() == phase && election_->isOpen(now);
 }
 
 void Replica::onVote(Millis now, const MemberMessage& message) {
-  if (!message.granted) newestEpochSeen_ = std::max(newestEpochSeen_, message.epoch);
-  if (!isCollecting(now, Election::Phase::vote) || !message.granted || message.epoch != election_->epoch())
+  if (!message.granted) highestVotedEpoch_ = std::max(highestVotedEpoch_, message.epoch);
+  if (!isCollectingVotes(now, Election::Phase::vote) || !message.granted ||
+      message.epoch != election_->epoch())
     return;
-  election_->add(message);
+  election_->addVote(message);
   if (election_->isWon(durable_)) becomePrimary(now);
 }
 
 void Replica::becomePrimary(Millis now) {
   const Election won = std::move(*election_);
   election_.reset();
-  for (const auto& [from, vote] : won.votes()) peers_[from].heardAt = now;
-  openEpoch(now, won.successor(durable_, timing_.losses));
+  for (const auto& [from, vote] : won.votes()) peers_[from].lastContactAt = now;
+  openEpoch(now, won.successor(durable_, timing_.toleratedLosses));
 }
 
 std::uint64_t Replica::nextTerm() const {
-  return (termOf(std::max({durable_.votedEpoch, durable_.record.epoch, newestEpochSeen_})) + 1) << kStepBits;
+  return (termOf(std::max({durable_.votedEpoch, durable_.record.epoch, highestVotedEpoch_})) + 1)
+         << kStepBits;
 }
 
 // Leads from here on, as yet without an established record.
@@ -146,9 +149,9 @@
   if (!primary_) electedAt_ = now;
   primary_ = true;
   established_ = false;
-  leader_ = self_;
+  knownPrimary_ = self_;
   epochOpenedAt_ = now;
-  for (auto& [node, peer] : peers_) peer.replicatedAt = kNever, peer.replicatedSequence.reset();
+  for (auto& [node, peer] : peers_) peer.stateSentAt = kNever, peer.ackedSequence.reset();
   heartbeatSentAt_ = kNever;
   tickPrimary(now);
 }
@@ -172,9 +175,9 @@
   primary_ = established_ = proposalPending_ = false;
   committed_.reset();
   peers_.clear();
-  leader_.clear();
+  knownPrimary_.clear();
   host_.log("no longer primary: " + why);
-  host_.lostPrimacy();
+  host_.onPrimacyLost();
 }
 
 }  // namespace lilacmux
--- a/src/consensus/replica_lease.cpp
+++ b/src/consensus/replica_lease.cpp
@@ -11,7 +11,9 @@
     std::vector<Millis> acked;
     for (const NodeId& member : members) {
       const auto peer = peers_.find(member);
-      acked.push_back(member == self_ ? now : peer == peers_.end() ? kNever : peer->second.ackedSentAt);
+      acked.push_back(member == self_        ? now
+                      : peer == peers_.end() ? kNever
+                                             : peer->second.ackedHeartbeatSentAt);
     }
     std::sort(acked.rbegin(), acked.rend());
     return acked.empty() ? kNever : acked[members.size() / 2];
@@ -23,21 +25,21 @@
 
 // The end of the lease that a quorum, this node included, has granted the primary.
 Millis Replica::leaseUntil(Millis now) const {
-  return quorumAckedAt(now) + timing_.lease - timing_.leaseMargin;
+  return quorumAckedAt(now) + timing_.leaseDuration - timing_.clockDriftMargin;
 }
 
 // A lease granted before a restart is not on disk, but it can only be that of the candidate voted for in the
 // newest epoch.
-bool Replica::boundByLease(Millis now) const {
-  if (now < lastHeartbeatAt_ + timing_.lease) return true;
-  return !firstStart_ && durable_.votedFor != self_ && now < startedAt_ + timing_.lease;
+bool Replica::isBoundByLease(Millis now) const {
+  if (now < lastHeartbeatAt_ + timing_.leaseDuration) return true;
+  return !isFirstStart_ && durable_.votedFor != self_ && now < startedAt_ + timing_.leaseDuration;
 }
 
 void Replica::sendHeartbeats(Millis now) {
   heartbeatSentAt_ = now;
-  dropSilentObservers(now);
+  dropUnresponsiveObservers(now);
   std::set<NodeId> receivers = memberSet();
-  for (const auto& [observer, heardAt] : observers_) receivers.insert(observer);
+  for (const auto& [observer, lastContactAt] : observers_) receivers.insert(observer);
   receivers.erase(self_);
   for (const NodeId& receiver : receivers) sendHeartbeat(now, receiver);
 }
@@ -46,7 +48,7 @@
   MemberMessage heartbeat = makeMessage(MemberMessage::Kind::heartbeat);
   heartbeat.sentAt = now;
   const auto announcement = announcements_.find(to);
-  heartbeat.announcementSeen = announcement == announcements_.end() ? kNever : announcement->second;
+  heartbeat.lastAnnouncementSentAt = announcement == announcements_.end() ? kNever : announcement->second;
   host_.send(to, heartbeat);
 }
 
@@ -55,8 +57,8 @@
 // as a connection lives, and its sender may have been replaced meanwhile.
 bool Replica::mayAcceptRecord(Millis now, const MemberMessage& heartbeat) const {
   if (!diskIsEmpty_) return true;
-  const Millis joinsAt = startedAt_ + timing_.listenBeforeJoining;
-  const Millis seen = heartbeat.announcementSeen.value_or(now);
+  const Millis joinsAt = startedAt_ + timing_.emptyDiskJoinDelay;
+  const Millis seen = heartbeat.lastAnnouncementSentAt.value_or(now);
   return now >= joinsAt && seen >= joinsAt && seen <= now;
 }
 
@@ -69,11 +71,11 @@
       (termOf(message.epoch) == termOf(durable_.votedEpoch) && durable_.votedFor != message.from);
   if (stale) return host_.send(message.from, response);
   if (primary_) stepDown("another primary has a newer epoch");
-  leader_ = message.from;
+  knownPrimary_ = message.from;
   lastHeartbeatAt_ = now;
   election_.reset();
   noElectionBefore_ = 0;
-  lostElection_ = false;
+  lostLastElection_ = false;
   if (!mayAcceptRecord(now, message)) return sendAnnouncement(now, message.from);
   if (message.epoch != durable_.record.epoch) {
     durable_.votedEpoch = message.epoch;
@@ -92,7 +94,7 @@
 // A member that has voted in a later term, which nobody won, accepts nothing of this one: an election in a
 // newer term wins it back.
 void Replica::onHeartbeatRejected(Millis now, const MemberMessage& message) {
-  newestEpochSeen_ = std::max(newestEpochSeen_, message.epoch);
+  highestVotedEpoch_ = std::max(highestVotedEpoch_, message.epoch);
   const bool ofThisEpoch = message.sentAt >= epochOpenedAt_;
   if (ofThisEpoch && termOf(message.epoch) >= termOf(durable_.record.epoch) && now >= noElectionBefore_)
     startElection(now);
@@ -102,15 +104,15 @@
   if (!primary_) return;
   if (!message.granted) return onHeartbeatRejected(now, message);
   Peer& peer = peers_[message.from];
-  peer.ackedSentAt = std::max(peer.ackedSentAt, message.sentAt);
-  peer.heardAt = now;
+  peer.ackedHeartbeatSentAt = std::max(peer.ackedHeartbeatSentAt, message.sentAt);
+  peer.lastContactAt = now;
   peer.acceptedEpoch = std::max(peer.acceptedEpoch, message.epoch);
   if (message.epoch != durable_.record.epoch) return;
   if (durable_.record.backups.empty() && !established_) return replicate(now);
   if (!durable_.record.isBackup(message.from)) return;
   const bool lacksState = message.dataEpoch < durable_.record.epoch;  // a new backup, or its disk was lost
-  const bool due = peer.replicatedAt < epochOpenedAt_ || now - peer.replicatedAt >= timing_.resendAfter;
-  if ((lacksState || !peer.replicatedSequence) && due) replicateTo(now, message.from);
+  const bool due = peer.stateSentAt < epochOpenedAt_ || now - peer.stateSentAt >= timing_.resendInterval;
+  if ((lacksState || !peer.ackedSequence) && due) replicateTo(now, message.from);
 }
 
 }  // namespace lilacmux
--- a/src/consensus/replica_membership.cpp
+++ b/src/consensus/replica_membership.cpp
@@ -27,25 +27,25 @@
   if (durable_.record.members.empty()) durable_.record.members = theirs.members;
   if (theirs.epoch < durable_.record.epoch || (theirs.members.empty() && !durable_.record.members.empty()))
     sendAnnouncement(now, message.from);
-  if (!durable_.record.has(message.from)) observers_[message.from] = now;
+  if (!durable_.record.hasMember(message.from)) observers_[message.from] = now;
 }
 
-void Replica::dropSilentObservers(Millis now) {
+void Replica::dropUnresponsiveObservers(Millis now) {
   std::erase_if(observers_, [&](const auto& observer) { return now - observer.second > kObserverTimeout; });
 }
 
-Millis Replica::heardAt(const NodeId& node) const {
+Millis Replica::lastContactAt(const NodeId& node) const {
   const auto peer = peers_.find(node);
-  return std::max(electedAt_, peer == peers_.end() ? kNever : peer->second.heardAt);
+  return std::max(electedAt_, peer == peers_.end() ? kNever : peer->second.lastContactAt);
 }
 
 // Another member replaces an unresponsive backup, as far as there is one.
-bool Replica::replaceSilentBackups(Millis now) {
+bool Replica::replaceUnresponsiveBackups(Millis now) {
   const EpochRecord& record = durable_.record;
   std::vector<NodeId> heard;
   for (const NodeId& backup : record.backups)
-    if (now - heardAt(backup) < timing_.backupTimeout) heard.push_back(backup);
-  const std::size_t wanted = std::min<std::size_t>(timing_.losses, record.members.size() - 1);
+    if (now - lastContactAt(backup) < timing_.backupTimeout) heard.push_back(backup);
+  const std::size_t wanted = std::min<std::size_t>(timing_.toleratedLosses, record.members.size() - 1);
   const bool grows = established_ && record.oldMembers.empty() && record.backups.size() < wanted;
   if (heard.size() == record.backups.size() && !grows) return false;
   const auto next = chooseBackups(now, heard);
@@ -53,10 +53,10 @@
   // ones.
   const auto unresponsive = static_cast<unsigned>(
       std::count_if(record.members.begin(), record.members.end(), [&](const NodeId& member) {
-        return member != self_ && now - heardAt(member) >= timing_.backupTimeout;
+        return member != self_ && now - lastContactAt(member) >= timing_.backupTimeout;
       }));
-  if (unresponsive > timing_.losses) return false;  // more likely this node is partitioned, or was
-  const unsigned needed = std::max(1u, timing_.losses - unresponsive);
+  if (unresponsive > timing_.toleratedLosses) return false;  // more likely this node is partitioned, or was
+  const unsigned needed = std::max(1u, timing_.toleratedLosses - unresponsive);
   if (next == record.backups || next.size() < std::min<std::size_t>(needed, record.backups.size()))
     return false;
   for (const NodeId& backup : next)
@@ -73,11 +73,12 @@
   for (const NodeId& member : durable_.record.members) {
     const auto peer = peers_.find(member);
     if (member == self_ || durable_.record.isBackup(member) || peer == peers_.end()) continue;
-    if (now - peer->second.heardAt < kAliveWithin) others.emplace_back(peer->second.heardAt, member);
+    if (now - peer->second.lastContactAt < kAliveWithin)
+      others.emplace_back(peer->second.lastContactAt, member);
   }
   std::sort(others.rbegin(), others.rend());
   for (const auto& [heard, member] : others)
-    if (backups.size() < timing_.losses) backups.push_back(member);
+    if (backups.size() < timing_.toleratedLosses) backups.push_back(member);
   std::sort(backups.begin(), backups.end());
   return backups;
 }
@@ -90,20 +91,21 @@
   if (!established_ || !record.oldMembers.empty()) return false;
   const auto newcomer = std::find_if(observers_.begin(), observers_.end(), [&](const auto& observer) {
     const auto peer = peers_.find(observer.first);
-    return !record.has(observer.first) && peer != peers_.end() && now - peer->second.heardAt < kAliveWithin &&
-           peer->second.acceptedEpoch == record.epoch;
+    return !record.hasMember(observer.first) && peer != peers_.end() &&
+           now - peer->second.lastContactAt < kAliveWithin && peer->second.acceptedEpoch == record.epoch;
   });
   if (newcomer == observers_.end()) return false;
   const auto unresponsive =
       std::find_if(record.members.begin(), record.members.end(), [&](const NodeId& member) {
-        return member != self_ && !record.isBackup(member) && now - heardAt(member) >= timing_.memberTimeout;
+        return member != self_ && !record.isBackup(member) &&
+               now - lastContactAt(member) >= timing_.memberTimeout;
       });
   EpochRecord next = record;
   next.oldMembers = record.members;
   if (unresponsive != record.members.end()) {
     host_.log(newcomer->first + " takes the place of " + *unresponsive + ", which is silent");
     next.members[static_cast<std::size_t>(unresponsive - record.members.begin())] = newcomer->first;
-  } else if (record.members.size() < 2 * timing_.losses + 1) {
+  } else if (record.members.size() < 2 * timing_.toleratedLosses + 1) {
     host_.log(newcomer->first + " becomes a member");
     next.members.push_back(newcomer->first);
   } else {
--- a/src/consensus/replica_replication.cpp
+++ b/src/consensus/replica_replication.cpp
@@ -15,29 +15,29 @@
 }
 
 // Whether every backup has the state as it is here; always so in a core of one.
-bool Replica::backupsUpToDate() {
+bool Replica::areBackupsUpToDate() {
   const auto& backups = durable_.record.backups;
   return std::all_of(backups.begin(), backups.end(), [&](const NodeId& backup) {
-    return peers_[backup].replicatedSequence == durable_.state.sequence;
+    return peers_[backup].ackedSequence == durable_.state.sequence;
   });
 }
 
 // Sends the state to each backup that has the record but not the state, paced. Where all have it, what was in
 // the way of a commit may be over: a lease that had run out, a member that had not accepted the record.
 void Replica::replicate(Millis now) {
-  if (backupsUpToDate()) return tryCommit(now);
+  if (areBackupsUpToDate()) return tryCommit(now);
   for (const NodeId& backup : durable_.record.backups) {
     const Peer& peer = peers_[backup];
-    if (peer.acceptedEpoch != epoch() || peer.replicatedSequence == durable_.state.sequence) continue;
-    const bool wasUpToDate = peer.replicatedSequence.has_value();
-    if (wasUpToDate || now - peer.replicatedAt >= timing_.resendAfter) replicateTo(now, backup);
+    if (peer.acceptedEpoch != epoch() || peer.ackedSequence == durable_.state.sequence) continue;
+    const bool wasUpToDate = peer.ackedSequence.has_value();
+    if (wasUpToDate || now - peer.stateSentAt >= timing_.resendInterval) replicateTo(now, backup);
   }
 }
 
 void Replica::replicateTo(Millis now, const NodeId& backup) {
   Peer& peer = peers_[backup];
-  peer.replicatedAt = now;
-  peer.replicatedSequence.reset();
+  peer.stateSentAt = now;
+  peer.ackedSequence.reset();
   MemberMessage message = makeMessage(MemberMessage::Kind::replicate);
   message.state = durable_.state;
   host_.send(backup, message);
@@ -48,7 +48,7 @@
   if (!isMember() || message.epoch != record.epoch || !record.isBackup(self_) ||
       record.primary != message.from || durable_.votedEpoch != record.epoch || !message.state)
     return;
-  lastHeartbeatAt_ = std::max(lastHeartbeatAt_, now - timing_.heartbeatEvery);
+  lastHeartbeatAt_ = std::max(lastHeartbeatAt_, now - timing_.heartbeatInterval);
   const bool known = durable_.dataEpoch == record.epoch && message.state->sequence <= durable_.state.sequence;
   if (!known) {
     durable_.state = *message.state;
@@ -61,8 +61,8 @@
 void Replica::onReplicateAck(Millis now, const MemberMessage& message) {
   if (!primary_ || message.epoch != durable_.record.epoch || !durable_.record.isBackup(message.from)) return;
   Peer& peer = peers_[message.from];
-  peer.heardAt = now;
-  peer.replicatedSequence = message.sequence;
+  peer.lastContactAt = now;
+  peer.ackedSequence = message.sequence;
   if (message.sequence == durable_.state.sequence) tryCommit(now);
 }
 
@@ -73,14 +73,14 @@
   for (const auto& [node, peer] : peers_)
     if (peer.acceptedEpoch == durable_.record.epoch) accepted.insert(node);
   if (!durable_.record.isQuorum(accepted)) return;
-  if (!backupsUpToDate()) return;
+  if (!areBackupsUpToDate()) return;
   const bool news = !committed_ || committed_->sequence != durable_.state.sequence;
   if (!committed_) host_.log("primary in epoch " + epochText(durable_.record.epoch));
   established_ = true;
   durable_.establishedEpoch = durable_.record.epoch;
   if (news) committed_ = std::make_shared<ReplicatedState>(durable_.state);
   proposalPending_ = false;
-  if (news) host_.committed(*committed_);
+  if (news) host_.onCommitted(*committed_);
   if (!primary_ || durable_.record.oldMembers.empty()) return;
   EpochRecord next = durable_.record;
   next.oldMembers.clear();
--- a/src/consensus/state_store.cpp
+++ b/src/consensus/state_store.cpp
@@ -71,25 +71,26 @@
 }
 
 json metaOf(const DurableState& d) {
-  return {{"form", kFormat},
-          {"members", d.record.members},
-          {"leaving", d.record.oldMembers},
-          {"promised", d.votedEpoch},
-          {"promisedTo", d.votedFor},
-          {"epoch", d.record.epoch},
-          {"previous", d.record.strictPrevious()},  // the only demand that versions before `undecided` read
-          {"certain", d.record.previous},
-          {"uncertain", d.record.undecided},
-          {"primary", d.record.primary},
-          {"backups", d.record.backups},
-          {"dataEpoch", d.dataEpoch},
-          {"forgotten", d.lostEpoch},
-          {"settled", d.establishedEpoch},
-          {"sequence", d.state.sequence},
-          {"revision", d.state.revision},
-          {"forgottenRevision", d.state.accepted.forgottenRevision()},
-          {"taken", json::array()},  // what form 1 must have to be read, so that an older build can
-          {"holders", d.state.grantHolders}};
+  return {
+      {"form", kFormat},
+      {"members", d.record.members},
+      {"leaving", d.record.oldMembers},
+      {"promised", d.votedEpoch},
+      {"promisedTo", d.votedFor},
+      {"epoch", d.record.epoch},
+      {"previous", d.record.conservativePrevious()},  // the only demand that versions before `undecided` read
+      {"certain", d.record.previous},
+      {"uncertain", d.record.undecided},
+      {"primary", d.record.primary},
+      {"backups", d.record.backups},
+      {"dataEpoch", d.dataEpoch},
+      {"forgotten", d.lostEpoch},
+      {"settled", d.establishedEpoch},
+      {"sequence", d.state.sequence},
+      {"revision", d.state.revision},
+      {"forgottenRevision", d.state.accepted.compactedRevision()},
+      {"taken", json::array()},  // what form 1 must have to be read, so that an older build can
+      {"holders", d.state.grantHolders}};
 }
 
 DurableState fromMeta(const json& in) {
@@ -132,7 +133,7 @@
   bool good = false;
   try {
     good = open();
-    if (good) noteWritten();
+    if (good) loadWrittenState();
   } catch (const json::exception& why) {
     log_(std::string("what the store holds cannot be read: ") + why.what());
     good = false;
@@ -140,7 +141,7 @@
     log_(std::string("what the store holds cannot be read: ") + why.what());
     good = false;
   }
-  if (!good) setAside();
+  if (!good) moveAside();
   // LevelDB renames a new CURRENT into place at each start and never syncs the folder for it: without this a
   // loss of power may bring back the old name, or none, while the files that it named are gone.
   const auto& sync = disk_.syncFolder ? disk_.syncFolder : syncFolder;
@@ -150,7 +151,7 @@
 
 StateStore::~StateStore() = default;
 
-void StateStore::noteWritten() {
+void StateStore::loadWrittenState() {
   const auto kept = read();
   if (!kept) return;
   writtenBody_ = kept->state.body;
@@ -175,7 +176,7 @@
   return true;
 }
 
-void StateStore::setAside() {
+void StateStore::moveAside() {
   db_.reset();
   writtenBody_.reset();
   writtenAccepted_.clear();
@@ -184,7 +185,7 @@
   std::error_code ignored;
   std::filesystem::remove_all(aside, ignored);  // one is enough to look at; the disk is small
   std::filesystem::rename(disk_.folder, aside, ignored);
-  setAside_ = true;
+  movedAside_ = true;
   if (!open()) throw std::runtime_error("cannot keep anything in dataDirectory: it stays damaged");
 }
 
--- a/src/consensus/state_store.hpp
+++ b/src/consensus/state_store.hpp
@@ -42,12 +42,12 @@
   // nothing more.
   bool write(const DurableState& durable);
   // The store was damaged beyond repair: the node starts as after a disk loss.
-  bool wasSetAside() const { return setAside_; }
+  bool wasMovedAside() const { return movedAside_; }
 
  private:
   bool open();  // false: what is there is damaged
-  void setAside();
-  void noteWritten();
+  void moveAside();
+  void loadWrittenState();
   std::vector<AcceptedChange> readAcceptedEntries() const;
 
   const Disk disk_;
@@ -56,7 +56,7 @@
   // What the disk holds, so that only what differs is written.
   std::shared_ptr<const std::string> writtenBody_;
   std::vector<AcceptedChange> writtenAccepted_;
-  bool setAside_ = false, failed_ = false;
+  bool movedAside_ = false, failed_ = false;
 };
 
 }  // namespace lilacmux
--- a/src/control/configuration_register.cpp
+++ b/src/control/configuration_register.cpp
@@ -11,7 +11,7 @@
   if (const auto* reason = std::get_if<std::string>(&read)) return Invalid{*reason};
   const std::uint64_t revision = std::get<Configuration>(read).revision;
   if (revision <= request.baseRevision) return Invalid{"revision does not exceed the one it builds on"};
-  if (committed.accepted.mayHaveForgotten(revision))
+  if (committed.accepted.mayHaveCompacted(revision))
     return OutcomeUnknown{"a change of this revision may have been accepted too long ago to tell"};
   if (request.baseRevision < committed.revision) return Conflict{committed.revision};
   if (request.baseRevision > committed.revision)
--- a/src/control/core_member.cpp
+++ b/src/control/core_member.cpp
@@ -17,7 +17,7 @@
 
 Replica::Timing timingOf(const NodeSettings& settings) {
   Replica::Timing out;
-  out.losses = settings.machineFailures;
+  out.toleratedLosses = settings.machineFailures;
   return out;
 }
 
@@ -75,7 +75,7 @@
 void CoreMember::open() {
   store_.reset();
   store_.emplace(Disk{*storeFolder_, nullptr, nullptr}, log_);
-  const bool isFirstStart = bootstrap_ && !store_->wasSetAside();
+  const bool isFirstStart = bootstrap_ && !store_->wasMovedAside();
   replica_ = std::make_unique<Replica>(self_, seeds_, isFirstStart, store_->read(), timing_, steadyMs(),
                                        static_cast<ReplicaHost&>(*this));
   bootstrap_ = false;
--- a/src/control/core_member.hpp
+++ b/src/control/core_member.hpp
@@ -64,8 +64,8 @@
   // ReplicaHost
   void send(const NodeId& to, const MemberMessage& message) override { links_.send(to, message); }
   bool store(const DurableState& durable) override;
-  void committed(const ReplicatedState& state) override { observer_.onCommitted(state); }
-  void lostPrimacy() override { observer_.onPrimacyLost(); }
+  void onCommitted(const ReplicatedState& state) override { observer_.onCommitted(state); }
+  void onPrimacyLost() override { observer_.onPrimacyLost(); }
   void log(const std::string& line) override { log_(line); }
 
   bool tryOpen();
--- a/src/control/follow_service.cpp
+++ b/src/control/follow_service.cpp
@@ -30,8 +30,8 @@
   const Millis now = steadyMs();
   if (replica.hasLease(now) && primary_.isActive()) {
     primary_.answer(now, request, replica.committed(), out);
-  } else if (replica.leader() != self_) {
-    out.leader = replica.leader();
+  } else if (replica.knownPrimary() != self_) {
+    out.leader = replica.knownPrimary();
   }
   return out;
 }
--- a/src/control/internal_api.cpp
+++ b/src/control/internal_api.cpp
@@ -28,7 +28,7 @@
   if (!replica) return reply(toFrame(follows_.redirectToCore()));
   if (const auto request = parseFollowRequest(frame))
     return reply(toFrame(follows_.answer(*request, *replica)));
-  const auto message = memberMessageOf(std::move(frame));
+  const auto message = decodeMemberMessage(std::move(frame));
   reply(acknowledgement());
   if (message) replica->receive(steadyMs(), *message);
 }
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -66,7 +66,7 @@
   out.isPrimary = replica.isPrimary();
   out.hasLease = replica.hasLease(now);
   out.hasFailed = replica.hasFailed();
-  out.leader = replica.leader();
+  out.leader = replica.knownPrimary();
   out.record = durable.record;
   out.revision = durable.state.revision;
   return out;
@@ -139,7 +139,7 @@
 
 NodeId OperatorApi::redirectTarget() const {
   const Replica* replica = std::as_const(parts_.member).replica();
-  return replica ? replica->leader() : someCoreProcess();
+  return replica ? replica->knownPrimary() : someCoreProcess();
 }
 
 // For a node without a disk: a relay, else a member of the core in turn; they know the primary.
--- a/src/experiment/discovery.cpp
+++ b/src/experiment/discovery.cpp
@@ -222,7 +222,7 @@
     if (!host.isInService()) return true;
     if (!host.isUp) return false;
     if (&host == &leader) return true;
-    if (host.replica && host.replica->leader() != leader.address) return false;
+    if (host.replica && host.replica->knownPrimary() != leader.address) return false;
     const bool isDiskless = host.directory && !host.replica;
     if (isDiskless && !contains(host.directory->coreCandidates(), leader.address)) return false;
     return network_.now() - host.follower->updatedAt < kFollowingTimeout;
--- a/src/experiment/discovery_host.hpp
+++ b/src/experiment/discovery_host.hpp
@@ -33,8 +33,8 @@
 
   void send(const NodeId& to, const MemberMessage& message) override;
   bool store(const DurableState& durable) override { return disk = durable, true; }
-  void committed(const ReplicatedState&) override {}
-  void lostPrimacy() override {}
+  void onCommitted(const ReplicatedState&) override {}
+  void onPrimacyLost() override {}
   void log(const std::string&) override {}
 
   // Whether this machine takes part now: not a spare that was never started, nor one that was removed.
--- a/src/experiment/discovery_processes.cpp
+++ b/src/experiment/discovery_processes.cpp
@@ -31,7 +31,7 @@
         std::make_unique<PeerDirectory>(host.address, host.seeds, remembered, PeerDirectory::Timing{});
     host.rememberPeersAt = network_.now();
     Replica::Timing timing;
-    timing.losses = (plan_.members - 1) / 2;
+    timing.toleratedLosses = (plan_.members - 1) / 2;
     if (host.hasDisk)
       host.replica = std::make_unique<Replica>(host.address, host.seeds, bootstrap, host.disk, timing,
                                                network_.now(), host);
@@ -116,7 +116,8 @@
   if (follower.hasDisk) {
     out.hasUpdates = server.replica->hasLease(now);
     if (out.hasUpdates) server.relays[follower.address] = now;
-    if (!out.hasUpdates && server.replica->leader() != server.address) out.leader = server.replica->leader();
+    if (!out.hasUpdates && server.replica->knownPrimary() != server.address)
+      out.leader = server.replica->knownPrimary();
   } else {
     out.hasUpdates = now - server.follower->updatedAt < kRelayTimeout;
   }
--- a/src/experiment/fault_run.cpp
+++ b/src/experiment/fault_run.cpp
@@ -95,7 +95,7 @@
 
   static Replica::Timing timingOf(const FaultSchedule& schedule) {
     Replica::Timing out;
-    out.losses = static_cast<unsigned>(schedule.members / 2);
+    out.toleratedLosses = static_cast<unsigned>(schedule.members / 2);
     return out;
   }
   bool staysWithinTolerance() const { return schedule_.style == FaultSchedule::Style::withinTolerance; }
@@ -372,7 +372,7 @@
     const EpochRecord& record = cluster_.at(*activePrimary).durable().record;
     if (!record.oldMembers.empty()) return;
     for (auto it = notYetReplaced_.begin(); it != notYetReplaced_.end();) {
-      if (record.has(*it)) {
+      if (record.hasMember(*it)) {
         ++it;
         continue;
       }
--- a/src/experiment/simulated_cluster.hpp
+++ b/src/experiment/simulated_cluster.hpp
@@ -251,12 +251,12 @@
       if (fate != StepOutcome::continues) node.crashing = true;
       return true;
     }
-    void committed(const ReplicatedState& state) override {
+    void onCommitted(const ReplicatedState& state) override {
       if (node.crashing) return;
       cluster.recordCommit(self, state.revision);
       if (cluster.outcomeOf(ProtocolStep::commits, self) != StepOutcome::continues) node.crashing = true;
     }
-    void lostPrimacy() override {}
+    void onPrimacyLost() override {}
     void log(const std::string& line) override { cluster.traceLine(self, line); }
     ProtocolStep protocolStepOf(const DurableState& next) const {
       if (!cluster.onProtocolStep || !node.disk) return ProtocolStep::none;
--- a/tests/consensus/interrupted_election_test.cpp
+++ b/tests/consensus/interrupted_election_test.cpp
@@ -65,7 +65,7 @@
  private:
   static Replica::Timing timingFor(std::size_t members) {
     Replica::Timing out;
-    out.losses = static_cast<unsigned>(members / 2);
+    out.toleratedLosses = static_cast<unsigned>(members / 2);
     return out;
   }
   EpochRecord newest() {
@@ -149,8 +149,8 @@
 struct RecordingHost : ReplicaHost {
   void send(const NodeId& to, const MemberMessage& message) override { sent.emplace_back(to, message); }
   bool store(const DurableState&) override { return true; }
-  void committed(const ReplicatedState&) override {}
-  void lostPrimacy() override {}
+  void onCommitted(const ReplicatedState&) override {}
+  void onPrimacyLost() override {}
   void log(const std::string&) override {}
   std::vector<std::pair<NodeId, MemberMessage>> sent;
 };
@@ -159,7 +159,7 @@
 // with the empty disk has listened. One that answers an announcement made after that does.
 TEST(EmptyDisk, AcceptsNoRecordFromBeforeItHadListened) {
   const Replica::Timing timing;
-  const Millis start = 10000, joins = start + timing.listenBeforeJoining;
+  const Millis start = 10000, joins = start + timing.emptyDiskJoinDelay;
   RecordingHost host;
   Replica empty("a:1", {"b:1"}, false, std::nullopt, timing, start, host);
   MemberMessage heartbeat;
@@ -167,17 +167,17 @@
   heartbeat.from = "b:1";
   heartbeat.epoch = heartbeat.record.epoch = 1 << kStepBits;
   heartbeat.record.members = {"a:1", "b:1", "c:1"};
-  heartbeat.announcementSeen = start + 100;
+  heartbeat.lastAnnouncementSentAt = start + 100;
   empty.receive(joins + 50, heartbeat);
   EXPECT_EQ(empty.epoch(), 0u) << "sent before it had listened";
   ASSERT_FALSE(host.sent.empty());
   EXPECT_EQ(host.sent.back().first, heartbeat.from);
   EXPECT_EQ(host.sent.back().second.kind, MemberMessage::Kind::announce);
   EXPECT_EQ(host.sent.back().second.sentAt, joins + 50) << "it announces itself at once";
-  heartbeat.announcementSeen = 1e9;
+  heartbeat.lastAnnouncementSentAt = 1e9;
   empty.receive(joins + 50, heartbeat);
   EXPECT_EQ(empty.epoch(), 0u) << "the clock of another life";
-  heartbeat.announcementSeen = joins + 50;
+  heartbeat.lastAnnouncementSentAt = joins + 50;
   empty.receive(joins + 60, heartbeat);
   EXPECT_EQ(empty.epoch(), heartbeat.epoch);
 }
@@ -187,7 +187,7 @@
 // change.
 TEST(Backups, StayAsManyAsTheLossesWhereThePrimaryWasPartitioned) {
   Replica::Timing timing;
-  timing.losses = 2;
+  timing.toleratedLosses = 2;
   const Millis cutFor = timing.backupTimeout + 60;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedCluster cluster(seed, 5, 0, timing);
@@ -226,7 +226,7 @@
   message.record.undecided = {{7, "a:1", {"b:1"}}, {5, "b:1", {"c:1"}}};
   Frame frame = toFrame(message);
   EXPECT_EQ(frame.head.at("record").at(1), 7);
-  const auto read = memberMessageOf(std::move(frame));
+  const auto read = decodeMemberMessage(std::move(frame));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->record.previous, 3u);
   EXPECT_EQ(read->record.undecided, message.record.undecided);
--- a/tests/consensus/replica_test.cpp
+++ b/tests/consensus/replica_test.cpp
@@ -22,7 +22,8 @@
     ASSERT_TRUE(cluster.awaitWritablePrimary(3000)) << "seed " << seed;
     cluster.run(5000);
     ASSERT_TRUE(cluster.activePrimary()) << "seed " << seed;
-    for (const NodeId& name : cluster.names()) EXPECT_EQ(cluster.at(name).leader(), *cluster.activePrimary());
+    for (const NodeId& name : cluster.names())
+      EXPECT_EQ(cluster.at(name).knownPrimary(), *cluster.activePrimary());
   }
 }
 
@@ -74,7 +75,7 @@
     cluster.start(dead, false);
     cluster.run(4000);
     ASSERT_TRUE(cluster.activePrimary());
-    EXPECT_EQ(cluster.at(dead).leader(), *cluster.activePrimary());
+    EXPECT_EQ(cluster.at(dead).knownPrimary(), *cluster.activePrimary());
   }
 }
 
@@ -113,13 +114,13 @@
   ASSERT_TRUE(cluster.awaitWritablePrimary(3000));
   const NodeId old = *cluster.activePrimary();
   cluster.isolate(old, true);
-  cluster.run(Replica::Timing{}.lease);
+  cluster.run(Replica::Timing{}.leaseDuration);
   EXPECT_FALSE(cluster.at(old).hasLease(cluster.now()));
   ASSERT_TRUE(cluster.awaitWritablePrimary(kTakeover));
   EXPECT_NE(*cluster.activePrimary(), old);
   cluster.isolate(old, false);
   cluster.run(4000);
-  EXPECT_EQ(cluster.at(old).leader(), *cluster.activePrimary());
+  EXPECT_EQ(cluster.at(old).knownPrimary(), *cluster.activePrimary());
 }
 
 TEST(Replica, AMemberThatLostItsDiskComesBackAndTheCoreToleratesTheNextLoss) {
@@ -198,18 +199,18 @@
       *cluster.activePrimary() == cluster.names()[2] ? cluster.names()[1] : cluster.names()[2];
   cluster.kill(first);
   cluster.run(6000);
-  EXPECT_FALSE(cluster.at(*cluster.activePrimary()).durable().record.has(first));
+  EXPECT_FALSE(cluster.at(*cluster.activePrimary()).durable().record.hasMember(first));
   cluster.start(first, false);
   cluster.run(4000);
   EXPECT_FALSE(cluster.at(first).isMember()) << "it must learn that it is none any more";
-  EXPECT_EQ(cluster.at(first).leader(), *cluster.activePrimary());
+  EXPECT_EQ(cluster.at(first).knownPrimary(), *cluster.activePrimary());
   ASSERT_TRUE(cluster.propose());
   cluster.run(300);
   const NodeId second = *cluster.activePrimary();
   cluster.kill(second);
   cluster.run(9000);
   ASSERT_TRUE(cluster.awaitWritablePrimary(kTakeover));
-  EXPECT_TRUE(cluster.at(*cluster.activePrimary()).durable().record.has(first));
+  EXPECT_TRUE(cluster.at(*cluster.activePrimary()).durable().record.hasMember(first));
   EXPECT_EQ(cluster.at(*cluster.activePrimary()).committed().revision, 1u);
 }
 
@@ -265,7 +266,7 @@
 // Told of three, a core that is to bear two losses takes two more in, and keeps each change on three disks.
 TEST(Replica, GrowsToFiveMembersAndToleratesTwoLostDisksWhileTheOthersLosePower) {
   Replica::Timing timing;
-  timing.losses = 2;
+  timing.toleratedLosses = 2;
   for (std::uint64_t seed = 0; seed < 12; ++seed) {
     SimulatedCluster cluster(seed, 3, 3, timing);
     cluster.startAll();
@@ -293,7 +294,7 @@
 // Two members gone, the three that are left go on.
 TEST(Replica, ACoreOfFiveGoesOnWithTwoGone) {
   Replica::Timing timing;
-  timing.losses = 2;
+  timing.toleratedLosses = 2;
   SimulatedCluster cluster(5, 5, 0, timing);
   cluster.startAll();
   ASSERT_TRUE(cluster.awaitWritablePrimary(4000));
@@ -379,7 +380,7 @@
   }
   static Replica::Timing two() {
     Replica::Timing out;
-    out.losses = 2;
+    out.toleratedLosses = 2;
     return out;
   }
 
--- a/tests/consensus/state_store_test.cpp
+++ b/tests/consensus/state_store_test.cpp
@@ -103,7 +103,7 @@
     StateStore store(disk(), log);
     kept = store.read().value();
     EXPECT_EQ(kept.state.accepted, expected);
-    EXPECT_TRUE(kept.state.accepted.mayHaveForgotten(3));
+    EXPECT_TRUE(kept.state.accepted.mayHaveCompacted(3));
     EXPECT_TRUE(store.write(kept));
   }
   EXPECT_EQ(StateStore(disk(), log).read()->state.accepted, expected) << "what an older build left is gone";
@@ -140,7 +140,7 @@
         if (read) {
           ASSERT_EQ(*read->state.body, *sample(number, 20000).state.body);
         }
-        ASSERT_FALSE(store.wasSetAside());
+        ASSERT_FALSE(store.wasMovedAside());
         for (auto writes = random() % 20; writes > 0; --writes)
           ASSERT_TRUE(store.write(sample(++number, 20000)));
       }
@@ -163,7 +163,7 @@
   EXPECT_THROW(StateStore(disk(weak), log), std::runtime_error);
   weak.full = false;
   StateStore store(disk(weak), log);
-  EXPECT_FALSE(store.wasSetAside());
+  EXPECT_FALSE(store.wasMovedAside());
   ASSERT_TRUE(store.read());
   EXPECT_GE(store.read()->votedEpoch, 1u);
   EXPECT_TRUE(store.write(sample(3)));
--- a/tests/control/accepted_changes_test.cpp
+++ b/tests/control/accepted_changes_test.cpp
@@ -37,14 +37,14 @@
     sent.state->accepted = AcceptedChanges(4, changes);
     Frame frame = toFrame(sent);
     Frame broken = frame, old = frame;
-    const auto read = memberMessageOf(std::move(frame));
+    const auto read = decodeMemberMessage(std::move(frame));
     ASSERT_TRUE(read && read->state);
     EXPECT_EQ(read->state->accepted, sent.state->accepted);
     EXPECT_EQ(*read->state->body, "body");
     broken.head["state"]["accepted"] = "AAAA";
-    EXPECT_FALSE(memberMessageOf(std::move(broken)));
+    EXPECT_FALSE(decodeMemberMessage(std::move(broken)));
     old.head["state"].erase("accepted");  // of a version that sent 64-bit hashes
-    EXPECT_EQ(memberMessageOf(std::move(old))->state->accepted, AcceptedChanges::onlyCurrent(9, "body"));
+    EXPECT_EQ(decodeMemberMessage(std::move(old))->state->accepted, AcceptedChanges::onlyCurrent(9, "body"));
   }
 }
 
--- a/tests/control/configuration_register_test.cpp
+++ b/tests/control/configuration_register_test.cpp
@@ -49,7 +49,7 @@
   for (std::uint64_t i = 1; i <= kChanges; ++i)
     ASSERT_TRUE(is<Accept>(changes.send(configurationBody(2 * i), 2 * i - 2)));
   EXPECT_EQ(changes.state.accepted.entries().size(), ConfigurationRegister::kDefaultCapacity);
-  EXPECT_EQ(changes.state.accepted.forgottenRevision(), 600u);
+  EXPECT_EQ(changes.state.accepted.compactedRevision(), 600u);
   for (std::uint64_t i = 1; i <= kChanges; ++i) {
     const Verdict verdict = changes.send(configurationBody(2 * i), 2 * i - 2);
     ASSERT_TRUE(i <= 300 ? is<OutcomeUnknown>(verdict) : is<AlreadyAccepted>(verdict)) << i;
--- a/tests/control/configuration_service_test.cpp
+++ b/tests/control/configuration_service_test.cpp
@@ -35,13 +35,13 @@
  private:
   static Replica::Timing timing() {
     Replica::Timing out;
-    out.losses = 0;
+    out.toleratedLosses = 0;
     return out;
   }
   void send(const NodeId&, const MemberMessage&) override {}
   bool store(const DurableState&) override { return !diskFails; }
-  void committed(const ReplicatedState&) override { service.onCommitted(); }
-  void lostPrimacy() override { service.onPrimacyLost(); }
+  void onCommitted(const ReplicatedState&) override { service.onCommitted(); }
+  void onPrimacyLost() override { service.onPrimacyLost(); }
   void log(const std::string&) override {}
 };
 
@@ -60,8 +60,8 @@
   struct Host : ReplicaHost {
     void send(const NodeId& to, const MemberMessage& message) override { sent.emplace_back(to, message); }
     bool store(const DurableState&) override { return true; }
-    void committed(const ReplicatedState&) override { service.onCommitted(); }
-    void lostPrimacy() override { service.onPrimacyLost(); }
+    void onCommitted(const ReplicatedState&) override { service.onCommitted(); }
+    void onPrimacyLost() override { service.onPrimacyLost(); }
     void log(const std::string&) override {}
     std::vector<std::pair<NodeId, MemberMessage>> sent;
     ConfigurationService service;
--- a/tests/control/operator_world.hpp
+++ b/tests/control/operator_world.hpp
@@ -28,7 +28,7 @@
 
   explicit OperatorWorld(std::uint64_t seed) : random_(seed * 0x9e3779b97f4a7c15u + 1) {
     const std::size_t members = chance() < 0.3 ? 5 : 3;
-    timing_.losses = static_cast<unsigned>(members / 2);
+    timing_.toleratedLosses = static_cast<unsigned>(members / 2);
     constexpr std::size_t kCapacities[] = {1, 2, 8, ConfigurationRegister::kDefaultCapacity};
     capacity_ = kCapacities[below(4)];
     answersLost_ = chance() < 0.5 ? 0.3 : 0.05;
@@ -86,12 +86,12 @@
       node.disk = durable;
       return true;
     }
-    void committed(const ReplicatedState& state) override {
+    void onCommitted(const ReplicatedState& state) override {
       world.recordCommit(state);
       world.nodes_[self].service->onCommitted();
       world.at(self, 0, [w = &world, s = self] { w->pump(s); });
     }
-    void lostPrimacy() override { world.nodes_[self].service->onPrimacyLost(); }
+    void onPrimacyLost() override { world.nodes_[self].service->onPrimacyLost(); }
     void log(const std::string&) override {}
     OperatorWorld& world;
     const NodeId self;
@@ -295,7 +295,7 @@
                          });
   }
   NodeId leaderAt(const NodeId& name) {
-    const NodeId leader = nodes_[name].replica->leader();
+    const NodeId leader = nodes_[name].replica->knownPrimary();
     return leader == name ? NodeId() : leader;
   }
   void read(const Replica& replica, const NodeId& at, const std::function<void(const Reply&)>& respond) {
--- a/tests/golden/samples.hpp
+++ b/tests/golden/samples.hpp
@@ -138,7 +138,7 @@
   MemberMessage out = plainMessage(kind);
   out.granted = true;
   out.record = fullRecord();
-  out.announcementSeen = -1.5;
+  out.lastAnnouncementSentAt = -1.5;
   out.state = fullState();
   return out;
 }
@@ -390,7 +390,7 @@
 }
 
 inline std::optional<MemberMessage> readMember(const std::string& bytes) {
-  return memberMessageOf(frameOf(bytes));
+  return decodeMemberMessage(frameOf(bytes));
 }
 inline std::optional<FollowRequest> readCall(const std::string& bytes) {
   return parseFollowRequest(frameOf(bytes));
--- a/tests/mutants/orders.sh
+++ b/tests/mutants/orders.sh
@@ -76,7 +76,7 @@
 accepted=src/consensus/accepted_changes.cpp
 
 mutant "refuses what may have been accepted and forgotten" $register \
-  's/if \(committed\.accepted\.mayHaveForgotten\(revision\)\)/if (false)/'
+  's/if \(committed\.accepted\.mayHaveCompacted\(revision\)\)/if (false)/'
 mutant "does not recognise what was accepted" $register \
   's/if \(committed\.accepted\.contains\(digest\)\)/if (false)/'
 mutant "tells bodies apart by eight bits of their digest" $accepted \
--- a/tests/net/frames_test.cpp
+++ b/tests/net/frames_test.cpp
@@ -41,7 +41,7 @@
   notJson[3] = 2;
   notJson += "xx";
   EXPECT_EQ(decode(notJson, out), Decoded::malformed);
-  EXPECT_FALSE(memberMessageOf(Frame{{{"t", "beat"}, {"from", 1}}, ""}));
+  EXPECT_FALSE(decodeMemberMessage(Frame{{{"t", "beat"}, {"from", 1}}, ""}));
   EXPECT_FALSE(parseFollowRequest(Frame{{{"t", "follow"}, {"name", "n"}}, ""}));
 }
 
