--- a/src/control/primary_role.cpp
+++ b/src/control/primary_role.cpp
@@ -96,7 +96,8 @@
   if (unreplicatedHolders_.empty() || !replica.canPropose(now)) return;
   ReplicatedState next = replica.committed();
   ++next.sequence;
-  std::erase_if(next.grantHolders, [&](const std::string& holder) { return primary_->isGone(now, holder); });
+  std::erase_if(next.grantHolders,
+                [&](const std::string& holder) { return primary_->hasExpired(now, holder); });
   next.grantHolders.merge(unreplicatedHolders_);
   unreplicatedHolders_.clear();
   replica.propose(now, next);
--- a/src/control/relay_locator.cpp
+++ b/src/control/relay_locator.cpp
@@ -15,7 +15,7 @@
 }
 
 bool RelayLocator::apply(const FollowResponse& response) {
-  if (response.delta.listed) position_ = {response.epoch, response.delta.index};
+  if (response.delta.hasServerList) position_ = {response.epoch, response.delta.index};
   revision_ = response.delta.revision;
   if (response.relays.empty()) return false;
   relayListId_ = response.relayListHash;
--- a/src/control/relay_service.cpp
+++ b/src/control/relay_service.cpp
@@ -44,7 +44,7 @@
 void RelayService::updateCore(const CoreView& core) {
   if (coreEpoch_ == core.epoch) return;
   coreEpoch_ = core.epoch;
-  follower_->learnCore(core);
+  follower_->updateCore(core);
 }
 
 Follower::Callbacks RelayService::relayHost() {
@@ -58,14 +58,14 @@
 Follower::Callbacks RelayService::locatorHost() {
   return {[this](ReportScope scope) { return locator_.request(scope); },
           [this](const FollowResponse& response, double) {
-            if (locator_.apply(response)) follower_->prefer(locator_.relays());
+            if (locator_.apply(response)) follower_->setPreferred(locator_.relays());
           },
           [] {}, log_, nullptr};
 }
 
 FollowResponse RelayService::answer(Millis now, const FollowRequest& request, const CoreView& core) {
-  FollowResponse out = relay_.answer(now, request);
-  if (relay_.isShort()) follower_->requestSoon(FollowSchedule::kRelayGap);
+  FollowResponse out = relay_.handleRequest(now, request);
+  if (relay_.needsTokens()) follower_->requestSoon(FollowSchedule::kMinRelayGap);
   if (out.epoch == 0) out.core = core;
   return out;
 }
--- a/src/control/relay_service.hpp
+++ b/src/control/relay_service.hpp
@@ -49,7 +49,7 @@
 
   // The log as received from the primary.
   const ChangeLog& changeLog() const { return relay_.log(); }
-  std::size_t gatekeepers(Millis now) const { return relay_.gatekeeperCount(now); }
+  std::size_t gatekeepers(Millis now) const { return relay_.gatewayCount(now); }
   std::uint64_t revision() const { return relay_.revision(); }
   // The relays that are known in mode `locator`.
   const std::vector<RelayEndpoint>& knownRelays() const { return locator_.relays(); }
--- a/src/experiment/capacity_messages.cpp
+++ b/src/experiment/capacity_messages.cpp
@@ -22,7 +22,7 @@
   FollowResponse answer;
   answer.epoch = call.position.epoch, answer.delta.index = call.position.index,
   answer.delta.revision = call.revision;
-  answer.gatekeepers = 2000, answer.ageMs = 120, answer.quotaGrants.number = 1ULL << 32;
+  answer.gatewayCount = 2000, answer.ageMs = 120, answer.quotaGrants.number = 1ULL << 32;
   for (const ShareDemand& demand : call.demands)
     answer.quotaGrants.grants.push_back({demand.tenant, 2, 1.234, false});
   const std::string request = encode(toFrame(call));
--- a/src/experiment/fleet_model.cpp
+++ b/src/experiment/fleet_model.cpp
@@ -234,7 +234,7 @@
   {
     const ProcessorCharge charge(processorOf(relay.cost));
     const auto response = *parseFollowResponse(Frame(frame));
-    relay.known = response.known;
+    relay.known = response.holdingsKnown;
     relay.core->handleResponse(events_.now(), response, relay.schedule.lastRequestAt());
   }
   scheduleRelay(r, relay.known ? relay.schedule.untilRegular(events_.now()) : kFullReportDelay);
@@ -255,8 +255,8 @@
 // A relay that runs short of tokens asks for more ahead of its time.
 void FleetModel::advanceRelay(std::size_t r) {
   const RelayNode& relay = *relays_[r];
-  if (!relay.core->isShort() || relay.inFlight) return;
-  if (const auto wait = relay.schedule.advance(events_.now(), FollowSchedule::kRelayGap))
+  if (!relay.core->needsTokens() || relay.inFlight) return;
+  if (const auto wait = relay.schedule.advance(events_.now(), FollowSchedule::kMinRelayGap))
     requestUnlessSent(r, *wait);
 }
 
@@ -296,7 +296,7 @@
   FollowResponse response;
   {
     const ProcessorCharge charge(processorOf(relay.cost));
-    response = relay.core->answer(events_.now(), *parseFollowRequest(frame));
+    response = relay.core->handleRequest(events_.now(), *parseFollowRequest(frame));
   }
   advanceRelay(r);
   const Frame back = transfer(response, relay.cost, gateways_[g]->cost);
@@ -325,14 +325,14 @@
 void FleetModel::applyResponse(GatewayNode& gateway, const FollowResponse& response) {
   if (response.epoch >= gateway.epoch) {
     gateway.epoch = response.epoch;
-    if (response.delta.listed) gateway.position = {response.epoch, response.delta.index};
+    if (response.delta.hasServerList) gateway.position = {response.epoch, response.delta.index};
     if (response.delta.revision > gateway.revision) {
       gateway.revision = response.delta.revision;
       if (changedAt_ > 0)
         figures_.versionEverywhereMs = std::max(figures_.versionEverywhereMs, events_.now() - changedAt_);
     }
   }
-  gateway.known = response.known;
+  gateway.known = response.holdingsKnown;
   if (!response.relays.empty()) gateway.relayListHash = response.relayListHash;
   const Millis sentAt = gateway.schedule.lastRequestAt();
   const ProcessorCharge charge(processorOf(gateway.cost));
@@ -368,7 +368,7 @@
   const auto need = gateway.admission.need();
   if (need == Admission::Need::none || gateway.inFlight) return;
   const Millis gap =
-      need == Admission::Need::waiting ? FollowSchedule::kPendingGap : FollowSchedule::kLowReserveGap;
+      need == Admission::Need::waiting ? FollowSchedule::kMinPendingGap : FollowSchedule::kMinLowReserveGap;
   if (const auto wait = gateway.schedule.advance(events_.now(), gap)) requestFromRelayUnlessSent(g, *wait);
 }
 
@@ -452,7 +452,7 @@
 
 FleetFigures FleetModel::finish() {
   const double seconds = plan_.seconds;
-  primaryCost_.looks = static_cast<double>(primary_->looks());
+  primaryCost_.looks = static_cast<double>(primary_->inspectedCount());
   const auto perSecond = [seconds](const Cost& cost, double nodes) {
     return Cost{cost.calls / seconds / nodes, cost.bytes / seconds / nodes, cost.looks / seconds / nodes,
                 cost.processorMs / seconds / nodes};
--- a/src/fleet/bulk_pacer.cpp
+++ b/src/fleet/bulk_pacer.cpp
@@ -11,7 +11,7 @@
 std::size_t serverBytes(const ChangeLog::Delta& delta) {
   if (!delta.servers) return 0;
   if (delta.servers->packedUpdated) return delta.servers->packedUpdated->bytes.size();
-  return (delta.servers->updated.size() + delta.servers->removed.size()) * BulkPacer::kServerBytes;
+  return (delta.servers->updated.size() + delta.servers->removed.size()) * BulkPacer::kEstimatedServerBytes;
 }
 
 void leaveOutConfiguration(FollowResponse& response) {
@@ -21,7 +21,7 @@
 
 // The follower keeps the servers that it has, and its position.
 void leaveOutServers(const FollowRequest& request, FollowResponse& response) {
-  response.delta.listed = false;
+  response.delta.hasServerList = false;
   response.delta.servers.reset();
   response.delta.index = request.position.epoch == response.epoch ? request.position.index : 0;
   response.listAgeMs.reset();
@@ -32,10 +32,10 @@
 void BulkPacer::pace(Millis now, const FollowRequest& request, FollowResponse& response) {
   const std::size_t configuration = configurationBytes(response.delta);
   const std::size_t servers = serverBytes(response.delta);
-  const bool isBulk = configuration + servers >= kBulkBytes;
-  if (!isBulk || link_.queue(now) <= kMaxQueue) return link_.passed(now, configuration + servers);
-  if (configuration >= kBulkBytes / 2) leaveOutConfiguration(response);
-  if (servers >= kBulkBytes / 2) leaveOutServers(request, response);
+  const bool isBulk = configuration + servers >= kMinBulkBytes;
+  if (!isBulk || link_.queue(now) <= kMaxQueueMs) return link_.passed(now, configuration + servers);
+  if (configuration >= kMinBulkBytes / 2) leaveOutConfiguration(response);
+  if (servers >= kMinBulkBytes / 2) leaveOutServers(request, response);
 }
 
 }  // namespace lilacmux
--- a/src/fleet/bulk_pacer.hpp
+++ b/src/fleet/bulk_pacer.hpp
@@ -14,9 +14,9 @@
 class BulkPacer {
  public:
   using Millis = double;
-  static constexpr std::size_t kBulkBytes = std::size_t{16} << 10;  // from which on a response waits
-  static constexpr Millis kMaxQueue = 40;           // ms of the link's time that may be queued ahead of bulk
-  static constexpr std::size_t kServerBytes = 120;  // about, of a server in a response
+  static constexpr std::size_t kMinBulkBytes = std::size_t{16} << 10;  // from which on a response waits
+  static constexpr Millis kMaxQueueMs = 40;  // ms of the link's time that may be queued ahead of bulk
+  static constexpr std::size_t kEstimatedServerBytes = 120;  // about, of a server in a response
 
   // `mbitPerS`: speed of the machine's link; 0: not known, and nothing waits.
   explicit BulkPacer(double mbitPerS) : link_(mbitPerS) {}
--- a/src/fleet/change_log.cpp
+++ b/src/fleet/change_log.cpp
@@ -17,7 +17,7 @@
 // A new epoch's primary has not confirmed any list yet.
 void ChangeLog::enterEpoch(std::uint64_t epoch) {
   epoch_ = epoch;
-  listed_ = false;
+  hasServerList_ = false;
 }
 
 ChangeLog::Servers ChangeLog::inheritFromCurrent(const std::vector<Instance>& list) const {
@@ -51,7 +51,7 @@
 void ChangeLog::replaceServers(Servers&& next, const ListPosition& position) {
   Change change = difference(next, position);
   servers_ = std::move(next);
-  const bool isFirstOfEpoch = !std::exchange(listed_, true);
+  const bool isFirstOfEpoch = !std::exchange(hasServerList_, true);
   const bool hadNoList = this->position().epoch == 0;
   if (hadNoList)
     base_ = position;  // nobody has followed anything before it
@@ -72,7 +72,7 @@
     servers_[instance.id] = instance;
   }
   for (const std::string& id : change.removed) servers_.erase(id);
-  listed_ = true;
+  hasServerList_ = true;
   append(std::move(change));
 }
 
@@ -93,7 +93,7 @@
     if (auto body = delta.configurationFor(revision_, body_.get()))
       setConfiguration(delta.revision, std::move(body));
   if (epoch > epoch_) enterEpoch(epoch);
-  if (!delta.listed || (listed_ && delta.index <= index())) return;
+  if (!delta.hasServerList || (hasServerList_ && delta.index <= index())) return;
   const ListPosition position{epoch, delta.index};
   if (delta.isSnapshot())
     replaceServers(inheritFromCurrent(delta.servers->updated), position);
@@ -127,9 +127,9 @@
   return packedConfiguration ? unpackConfiguration(*packedConfiguration, has, body) : configuration;
 }
 
-ServerChanges ChangeLog::snapshot() const {
+ServerChanges ChangeLog::makeSnapshot() const {
   ServerChanges out;
-  out.snapshot = true;
+  out.isSnapshot = true;
   for (const auto& [id, instance] : servers_) out.updated.push_back(instance);
   return out;
 }
@@ -159,16 +159,16 @@
   Delta out;
   out.index = index();
   out.revision = revision_;
-  out.listed = listed_;
+  out.hasServerList = hasServerList_;
   if (revision < revision_) out.configuration = body_;
   // Another relay may have sent the follower more than has arrived here.
   const bool followerIsAhead = position.epoch == epoch_ && position.index > out.index;
   if (followerIsAhead) out.index = position.index;
-  if (!listed_ || followerIsAhead) return out;
+  if (!hasServerList_ || followerIsAhead) return out;
   if (const auto known = changesUpTo(position))
     out.servers = mergedChanges(*known);
   else
-    out.servers = snapshot();
+    out.servers = makeSnapshot();
   return out;
 }
 
--- a/src/fleet/change_log.hpp
+++ b/src/fleet/change_log.hpp
@@ -28,7 +28,7 @@
 
 // What has changed in the server list, or all of it.
 struct ServerChanges {
-  bool snapshot = false;                        // `updated` is the complete list
+  bool isSnapshot = false;                      // `updated` is the complete list
   std::vector<Instance> updated;                // new or changed
   std::shared_ptr<const Packed> packedUpdated;  // in place of `updated`, for a follower that unpacks
   std::vector<std::string> removed;             // ids
@@ -46,7 +46,7 @@
   struct Delta {
     // Whether the epoch's primary has read a list. Otherwise nothing is said about servers, and the follower
     // keeps those that it has.
-    bool listed = false;
+    bool hasServerList = false;
     std::uint64_t index = 0;               // the follower's next request names this one
     std::optional<ServerChanges> servers;  // absent: no change
     std::uint64_t revision = 0;            // of the newest configuration
@@ -54,7 +54,7 @@
     std::shared_ptr<const std::string> configuration;
     std::shared_ptr<const PackedConfiguration> packedConfiguration;
 
-    bool isSnapshot() const { return servers && servers->snapshot; }
+    bool isSnapshot() const { return servers && servers->isSnapshot; }
     // The configuration for a follower that has `body` of revision `has`. Null: the delta brings none, or it
     // cannot be unpacked with that body.
     std::shared_ptr<const std::string> configurationFor(std::uint64_t has, const std::string* body) const;
@@ -78,9 +78,9 @@
 
   std::uint64_t epoch() const { return epoch_; }
   // Whether this epoch's primary has read a list.
-  bool listed() const { return listed_; }
+  bool hasServerList() const { return hasServerList_; }
   // Of the list of this epoch; 0: none was read.
-  std::uint64_t index() const { return listed_ ? position().index : 0; }
+  std::uint64_t index() const { return hasServerList_ ? position().index : 0; }
   // Of the list that is here, from whichever epoch.
   ListPosition position() const { return changes_.empty() ? base_ : changes_.back().position; }
   std::uint64_t revision() const { return revision_; }
@@ -104,11 +104,11 @@
   void applyChanges(const Delta& delta, const ListPosition& position);
   void append(Change&& change);
   std::optional<std::size_t> changesUpTo(const ListPosition& position) const;
-  ServerChanges snapshot() const;
+  ServerChanges makeSnapshot() const;
   std::optional<ServerChanges> mergedChanges(std::size_t first) const;
 
   std::uint64_t epoch_;
-  bool listed_ = false;
+  bool hasServerList_ = false;
   Servers servers_;
   ListPosition base_;           // before the oldest kept change
   std::deque<Change> changes_;  // in order, across epochs
--- a/src/fleet/follow_codec.cpp
+++ b/src/fleet/follow_codec.cpp
@@ -98,7 +98,7 @@
 
 void writeRelayReport(json& head, const RelayReport& relay) {
   head["address"] = relay.address;
-  head["gatekeepers"] = relay.gatekeepers;
+  head["gatekeepers"] = relay.gatewayCount;
   head["settled"] = relay.priorGrantsReported;
 }
 
@@ -106,7 +106,7 @@
   if (!head.contains("address")) return std::nullopt;
   RelayReport out;
   head.at("address").get_to(out.address);
-  head.at("gatekeepers").get_to(out.gatekeepers);
+  head.at("gatekeepers").get_to(out.gatewayCount);
   head.at("settled").get_to(out.priorGrantsReported);
   if (out.address.empty()) return std::nullopt;
   return out;
@@ -141,7 +141,7 @@
 }
 
 void writeServers(Frame& out, const ServerChanges& servers) {
-  out.head["snapshot"] = servers.snapshot;
+  out.head["snapshot"] = servers.isSnapshot;
   if (servers.packedUpdated) {
     json packed = packedToJson(*servers.packedUpdated);
     packed["bytes"] = servers.packedUpdated->bytes.size();
@@ -168,7 +168,7 @@
   const json& head = frame.head;
   if (!head.contains("set") && !head.contains("packedSet")) return std::nullopt;
   ServerChanges out;
-  head.at("snapshot").get_to(out.snapshot);
+  head.at("snapshot").get_to(out.isSnapshot);
   out.updated = head.contains("set") ? head.at("set").get<std::vector<Instance>>() : takePackedServers(frame);
   head.at("gone").get_to(out.removed);
   return out;
@@ -274,12 +274,12 @@
   head.at("epoch").get_to(out.epoch);
   head.at("place").get_to(out.delta.index);
   head.at("revision").get_to(out.delta.revision);
-  head.at("fleet").get_to(out.gatekeepers);
+  head.at("fleet").get_to(out.gatewayCount);
   head.at("age").get_to(out.ageMs);
   // Earlier versions do not send "unlisted"; their index is 0 until there is a list.
-  out.delta.listed = out.delta.index > 0 && !head.contains("unlisted");
+  out.delta.hasServerList = out.delta.index > 0 && !head.contains("unlisted");
   out.listAgeMs = readListAge(head);
-  out.known = !head.contains("unknown");
+  out.holdingsKnown = !head.contains("unknown");
   out.delta.servers = readServers(frame);
   readGrants(head, out);
   readRelays(head, out);
@@ -315,10 +315,10 @@
               {"epoch", response.epoch},
               {"place", response.delta.index},
               {"revision", response.delta.revision},
-              {"fleet", response.gatekeepers},
+              {"fleet", response.gatewayCount},
               {"age", millisUp(response.ageMs)}};
-  if (!response.known) out.head["unknown"] = true;
-  if (!response.delta.listed) out.head["unlisted"] = true;
+  if (!response.holdingsKnown) out.head["unknown"] = true;
+  if (!response.delta.hasServerList) out.head["unlisted"] = true;
   writeListAge(out.head, response.listAgeMs);
   if (!response.core.members.empty()) writeCore(out.head, response.core);
   if (response.delta.servers) writeServers(out, *response.delta.servers);
--- a/src/fleet/follow_messages.hpp
+++ b/src/fleet/follow_messages.hpp
@@ -25,7 +25,7 @@
 // What a relay says about itself, in addition to what every follower says.
 struct RelayReport {
   std::string address;  // ip:port, internal
-  std::size_t gatekeepers = 0;
+  std::size_t gatewayCount = 0;
   // Its gateways have had the time to report what earlier incarnations of this relay granted them.
   bool priorGrantsReported = false;
 };
@@ -65,10 +65,10 @@
   // primary has not read the list since it took over and knows nothing of its age.
   std::optional<double> listAgeMs = 0;
   ChangeLog::Delta delta;
-  std::size_t gatekeepers = 0;  // in the whole system
+  std::size_t gatewayCount = 0;  // in the whole system
   // Whether the ledgers here know what the follower holds. If not, it must send a full report before it is
   // granted anything.
-  bool known = true;
+  bool holdingsKnown = true;
   GrantBatch quotaGrants;  // by tenant
   GrantBatch retryGrants;  // by service
   std::uint64_t relayListHash = 0;
--- a/src/fleet/follow_schedule.hpp
+++ b/src/fleet/follow_schedule.hpp
@@ -18,7 +18,7 @@
   static constexpr Millis kRetryDelay = 60;  // after a request that failed
   // At least so long between two requests: of a relay that runs short of tokens; of a gateway where requests
   // wait for tokens, and where a token reserve is low.
-  static constexpr Millis kRelayGap = 10, kPendingGap = 2, kLowReserveGap = 25;
+  static constexpr Millis kMinRelayGap = 10, kMinPendingGap = 2, kMinLowReserveGap = 25;
 
   // Records that a request is sent now, and returns what it must report. `known`: the one that is asked knows
   // what this follower holds.
--- a/src/fleet/follower.cpp
+++ b/src/fleet/follower.cpp
@@ -27,7 +27,7 @@
   scheduleRequest(0);
 }
 
-void Follower::learnCore(const CoreView& core) {
+void Follower::updateCore(const CoreView& core) {
   selector_.setCore(core.epoch, parseAddresses(core.members));
 }
 
@@ -44,7 +44,7 @@
   return out;
 }
 
-void Follower::prefer(const std::vector<RelayEndpoint>& best) {
+void Follower::setPreferred(const std::vector<RelayEndpoint>& best) {
   std::vector<std::string> addresses;
   addresses.reserve(best.size());
   for (const RelayEndpoint& relay : best) addresses.push_back(relay.address);
@@ -146,11 +146,11 @@
   if (detached_) return;
   const auto response = frame ? parseFollowResponse(std::move(*frame)) : std::nullopt;
   if (!response) return handleNoResponse();
-  learnCore(response->core);  // its members change, so those of the settings may all be gone one day
+  updateCore(response->core);  // its members change, so those of the settings may all be gone one day
   if (response->epoch == 0) return handleRedirect(response->leader);
   if (failures_ >= kFailuresToLog) callbacks_.log("the control plane answers again");
   failures_ = 0;
-  knownToPeer_ = response->known;
+  knownToPeer_ = response->holdingsKnown;
   selector_.markResponsive(client_->peer());
   awaitsNextRequest_ = true;
   scheduleRequest(knownToPeer_ ? schedule_.untilRegular(steadyMs()) : 0);
--- a/src/fleet/follower.hpp
+++ b/src/fleet/follower.hpp
@@ -23,7 +23,8 @@
   using Millis = double;  // of the steady clock
 
   // What the follower needs of its owner. Called on the io_context's thread, never from the constructor, and
-  // not once `detach` was called. `prefer` and `learnCore` may call `log`, and `prefer` also `detachRequest`.
+  // not once `detach` was called. `prefer` and `updateCore` may call `log`, and `prefer` also
+  // `detachRequest`.
   struct Callbacks {
     // The next request; the argument says how much it must report.
     std::function<FollowRequest(ReportScope)> request;
@@ -45,9 +46,9 @@
   // Replaces the seeds by those of newer settings.
   void setSeeds(std::vector<Endpoint> seeds) { selector_.setSeeds(std::move(seeds)); }
   // Where the core is, as learned from others than the peer.
-  void learnCore(const CoreView& core);
+  void updateCore(const CoreView& core);
   // The relays to follow as long as they respond, the best first. Turns to the best one at once.
-  void prefer(const std::vector<RelayEndpoint>& best);
+  void setPreferred(const std::vector<RelayEndpoint>& best);
 
  private:
   void sendRequest();
--- a/src/fleet/follower_state.cpp
+++ b/src/fleet/follower_state.cpp
@@ -10,9 +10,9 @@
   Update out;
   if (!accepts(response)) return out;
   if (const auto& changes = response.delta.servers)
-    out = changes->snapshot ? applySnapshot(*changes) : applyChanges(*changes);
+    out = changes->isSnapshot ? applySnapshot(*changes) : applyChanges(*changes);
   epoch_ = response.epoch;
-  if (response.delta.listed) position_ = {epoch_, response.delta.index};
+  if (response.delta.hasServerList) position_ = {epoch_, response.delta.index};
   renewLease(response, sentAt, revision);
   return out;
 }
@@ -38,7 +38,7 @@
   }
   for (const auto& [id, instance] : before)
     if (!instances_.contains(id)) out.removed.push_back(instance);
-  listed_ = true;
+  hasServerList_ = true;
   return out;
 }
 
@@ -56,7 +56,7 @@
     out.removed.push_back(std::move(found->second));
     instances_.erase(found);
   }
-  listed_ = true;
+  hasServerList_ = true;
   return out;
 }
 
--- a/src/fleet/follower_state.hpp
+++ b/src/fleet/follower_state.hpp
@@ -33,7 +33,7 @@
 
   std::uint64_t epoch() const { return epoch_; }
   const ListPosition& position() const { return position_; }  // for the next request
-  bool listed() const { return listed_; }                     // a server list was received
+  bool hasServerList() const { return hasServerList_; }       // a server list was received
   bool holdsLease(Millis now) const { return now < leaseUntil_; }
   Millis remainingLease(Millis now) const { return now < leaseUntil_ ? leaseUntil_ - now : 0; }
   const std::map<std::string, Instance>& instances() const { return instances_; }  // by id
@@ -46,7 +46,7 @@
   const Millis lease_;
   std::uint64_t epoch_ = 0;  // of the newest primary whose response was received
   ListPosition position_;
-  bool listed_ = false;
+  bool hasServerList_ = false;
   Millis leaseUntil_ = -1;
   std::map<std::string, Instance> instances_;
 };
--- a/src/fleet/primary_service.cpp
+++ b/src/fleet/primary_service.cpp
@@ -45,7 +45,7 @@
     return now - relay.lastRequestAt > kRelayTimeout || isReplaced;
   });
   const auto [entry, isNew] = relays_.try_emplace(request.name);
-  entry->second = {{report.address, request.zone}, report.gatekeepers, now};
+  entry->second = {{report.address, request.zone}, report.gatewayCount, now};
   if (removed > 0 || isNew) relayListHash_ = hashRelayList(endpoints());
 }
 
@@ -56,9 +56,9 @@
   return out;
 }
 
-std::size_t PrimaryService::gatekeepers() const {
+std::size_t PrimaryService::gatewayCount() const {
   std::size_t out = 0;
-  for (const auto& [name, relay] : relays_) out += relay.gatekeepers;
+  for (const auto& [name, relay] : relays_) out += relay.gatewayCount;
   return out;
 }
 
@@ -81,7 +81,7 @@
     retries =
         retries_->handleReport(now, request.name, request.requestRates, request.retryDemands, request.full);
   GrantReply quotas = shares_.handleReport(now, request.name, request.demands, request.full);
-  response.known = quotas.known && (!retries || retries->known);
+  response.holdingsKnown = quotas.known && (!retries || retries->known);
   response.quotaGrants = {quotas.grantNumber, std::move(quotas.grants)};
   if (retries) response.retryGrants = {retries->grantNumber, std::move(retries->grants)};
 }
@@ -92,10 +92,10 @@
   if (request.detaching) return detachRelay(now, request);
   response.delta = log_.deltaSince(request.position, request.revision);
   recordRelay(now, request);
-  response.gatekeepers += gatekeepers();
+  response.gatewayCount += gatewayCount();
   response.relayListHash = relayListHash_;
   if (relayListHash_ != request.relayListHash) response.relays = endpoints();
-  response.known = named;
+  response.holdingsKnown = named;
   if (named) grant(now, request, response);
 }
 
--- a/src/fleet/primary_service.hpp
+++ b/src/fleet/primary_service.hpp
@@ -37,21 +37,21 @@
   std::uint64_t listIndex() const { return log_.index(); }
   std::uint64_t revision() const { return log_.revision(); }
   std::size_t relayCount(Millis now) const { return shares_.holderCount(now); }
-  bool isGone(Millis now, const std::string& relay) const { return shares_.hasExpired(now, relay); }
+  bool hasExpired(Millis now, const std::string& relay) const { return shares_.hasExpired(now, relay); }
   // Ledgers and holdings visited so far: what the work grows with.
-  std::uint64_t looks() const { return shares_.inspectedCount(); }
+  std::uint64_t inspectedCount() const { return shares_.inspectedCount(); }
 
  private:
   struct KnownRelay {
     RelayEndpoint endpoint;
-    std::size_t gatekeepers = 0;
+    std::size_t gatewayCount = 0;
     Millis lastRequestAt = 0;
   };
   void recordRelay(Millis now, const FollowRequest& request);
   void detachRelay(Millis now, const FollowRequest& request);
   void confirmPriorGrants(Millis now, const std::string& relay);
   void grant(Millis now, const FollowRequest& request, FollowResponse& response);
-  std::size_t gatekeepers() const;
+  std::size_t gatewayCount() const;
   std::vector<RelayEndpoint> endpoints() const;
 
   const QuotaRule rule_;
--- a/src/fleet/relay.cpp
+++ b/src/fleet/relay.cpp
@@ -38,7 +38,7 @@
 
 bool Relay::isStale(Millis now) const { return now - lastContactAt_ > kStaleAfter || log_.epoch() == 0; }
 
-FollowResponse Relay::answer(Millis now, const FollowRequest& request) {
+FollowResponse Relay::handleRequest(Millis now, const FollowRequest& request) {
   FollowResponse out;
   if (request.detaching) {
     detachGateway(now, request);
@@ -50,7 +50,7 @@
   out.ageMs = now - lastContactAt_;
   out.listAgeMs = listAge_;
   out.delta = log_.deltaSince(request.position, request.revision);
-  out.gatekeepers = gatekeepers_;
+  out.gatewayCount = gatekeepers_;
   if (request.relayListHash != relayListHash_) {
     out.relayListHash = relayListHash_;
     out.relays = rankRelays(request.name, request.zone, relays_, kMaxRelaysSent);
@@ -63,7 +63,7 @@
 void Relay::grant(Millis now, const FollowRequest& request, FollowResponse& response) {
   GrantReply quotas = quotas_.handleReport(now, request.name, request.demands, request.full);
   GrantReply retries = retries_.handleReport(now, request.name, request.retryDemands, request.full);
-  response.known = quotas.known && retries.known;
+  response.holdingsKnown = quotas.known && retries.known;
   response.quotaGrants = {quotas.grantNumber, std::move(quotas.grants)};
   response.retryGrants = {retries.grantNumber, std::move(retries.grants)};
 }
@@ -96,7 +96,7 @@
   out.revision = log_.revision();
   RelayReport report;
   report.address = endpoint_.address;
-  report.gatekeepers = gatekeeperCount(now);
+  report.gatewayCount = gatewayCount(now);
   report.priorGrantsReported = now - startedAt_ >= kPriorGrantsReportedAfter;
   out.relay = std::move(report);
   return out;
@@ -124,7 +124,7 @@
   if (response.epoch < log_.epoch()) return;  // of a primary that leads no longer
   log_.apply(response.epoch, response.delta);
   needsUnpacked_ = response.delta.packedConfiguration && response.delta.revision > log_.revision();
-  gatekeepers_ = response.gatekeepers;
+  gatekeepers_ = response.gatewayCount;
   listAge_ = response.listAgeMs;
   if (!response.relays.empty()) {
     relays_ = response.relays;
--- a/src/fleet/relay.hpp
+++ b/src/fleet/relay.hpp
@@ -26,15 +26,15 @@
   // --- Towards gateways
 
   // With epoch 0 in the response the gateway must ask elsewhere.
-  FollowResponse answer(Millis now, const FollowRequest& request);
+  FollowResponse handleRequest(Millis now, const FollowRequest& request);
   // From here on gateways are redirected to other relays, and take their holdings along.
   void drain() { draining_ = true; }
-  std::size_t gatekeeperCount(Millis now) const { return quotas_.gatekeeperCount(now); }
+  std::size_t gatewayCount(Millis now) const { return quotas_.gatekeeperCount(now); }
 
   // --- Towards the primary
 
   // Whether gateways wait for tokens that only the primary can grant.
-  bool isShort() const { return quotas_.needsTokens() || retries_.needsTokens(); }
+  bool needsTokens() const { return quotas_.needsTokens() || retries_.needsTokens(); }
   FollowRequest nextRequest(Millis now, ReportScope scope);
   // The last request of a relay that stops: gives back what no gateway holds.
   FollowRequest detachRequest(Millis now);
--- a/src/gateway/control_client.cpp
+++ b/src/gateway/control_client.cpp
@@ -24,8 +24,8 @@
 void ControlClient::requestTokensIfNeeded() {
   const auto need = admission_.need();
   if (need == Admission::Need::none) return;
-  follower_->requestSoon(need == Admission::Need::waiting ? FollowSchedule::kPendingGap
-                                                          : FollowSchedule::kLowReserveGap);
+  follower_->requestSoon(need == Admission::Need::waiting ? FollowSchedule::kMinPendingGap
+                                                          : FollowSchedule::kMinLowReserveGap);
 }
 
 void ControlClient::detach(std::function<void()> done) {
@@ -72,7 +72,7 @@
 // The response of an older primary renews no lease and changes neither configuration nor servers.
 void ControlClient::handleResponse(const FollowResponse& response, double sentAt) {
   if (state_.accepts(response)) {
-    gatewayCount_ = response.gatekeepers;
+    gatewayCount_ = response.gatewayCount;
     listener_.gatewayCountChanged(gatewayCount_);
     applyConfiguration(response.delta);
     listener_.serversChanged(state_.apply(response, sentAt, revision()));
@@ -80,7 +80,7 @@
   admission_.responseReceived(steadyMs(), response, sentAt);
   if (!response.relays.empty()) {
     relayListHash_ = response.relayListHash;
-    follower_->prefer(response.relays);
+    follower_->setPreferred(response.relays);
   }
   listener_.grantsChanged();
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -110,7 +110,7 @@
 }
 
 bool Gateway::ready() const {
-  return !draining_ && control_.state().listed() && control_.mayServe(steadyMs());
+  return !draining_ && control_.state().hasServerList() && control_.mayServe(steadyMs());
 }
 
 void Gateway::reload(const NodeSettings& settings) {
--- a/tests/fleet/bulk_pacer_test.cpp
+++ b/tests/fleet/bulk_pacer_test.cpp
@@ -46,8 +46,8 @@
   FollowRequest request;
   FollowResponse answer;
   answer.epoch = 3;
-  answer.delta.listed = true;
-  answer.delta.servers.emplace().snapshot = true;
+  answer.delta.hasServerList = true;
+  answer.delta.servers.emplace().isSnapshot = true;
   answer.delta.index = 9;
   answer.delta.revision = 2;
   for (int i = 0; i < 1000; ++i)
@@ -58,7 +58,7 @@
   pacer.pace(1, request, answer);
   EXPECT_FALSE(answer.delta.servers);
   state.apply(*parseFollowResponse(toFrame(answer)), 100, 2);
-  EXPECT_FALSE(state.listed());
+  EXPECT_FALSE(state.hasServerList());
   EXPECT_FALSE(state.holdsLease(101));
   EXPECT_EQ(state.position(), ListPosition());
 }
--- a/tests/fleet/catch_up_test.cpp
+++ b/tests/fleet/catch_up_test.cpp
@@ -101,13 +101,13 @@
       if (gatekeeperAway > 0 && --gatekeeperAway > 0) continue;
       if (random() % 8 == 0) gatekeeperAway = 10;
       if (random() % 3 == 0) continue;
-      const auto answer = sent(relay.answer(now, requestOf(gatekeeper, 0)), bytes);
+      const auto answer = sent(relay.handleRequest(now, requestOf(gatekeeper, 0)), bytes);
       std::set<std::string> ids;
       if (const auto& servers = answer.delta.servers) {
         for (const Instance& instance : servers->updated) EXPECT_TRUE(ids.insert(instance.id).second);
         for (const std::string& id : servers->removed) EXPECT_TRUE(ids.insert(id).second) << id;
-        EXPECT_TRUE(!servers->snapshot || servers->removed.empty());
-        ++(servers->snapshot ? snapshots : changes);
+        EXPECT_TRUE(!servers->isSnapshot || servers->removed.empty());
+        ++(servers->isSnapshot ? snapshots : changes);
       }
       gatekeeper.apply(answer, now, 0);
       ASSERT_EQ(gatekeeper.instances(), byId(platform.list())) << "seed " << seed << " at " << now;
@@ -233,13 +233,13 @@
   relay.apply(kEpoch, primary.deltaSince({}, 0));
   const ListPosition gatekeeper = relay.position();
   ChangeLog next = ChangeLog::continuing(2 * kEpoch, relay);
-  EXPECT_FALSE(next.deltaSince(gatekeeper, 0).listed) << "it has read no list yet";
+  EXPECT_FALSE(next.deltaSince(gatekeeper, 0).hasServerList) << "it has read no list yet";
   relay.apply(2 * kEpoch, next.deltaSince(relay.position(), 0));
   EXPECT_EQ(relay.position(), gatekeeper);
-  EXPECT_FALSE(relay.listed());
+  EXPECT_FALSE(relay.hasServerList());
   next.updateServers({server(1), server(3)});
   relay.apply(2 * kEpoch, next.deltaSince(relay.position(), 0));
-  EXPECT_TRUE(relay.listed());
+  EXPECT_TRUE(relay.hasServerList());
   const auto delta = relay.deltaSince(gatekeeper, 0);
   EXPECT_FALSE(delta.isSnapshot());
   EXPECT_EQ(delta.servers->updated, std::vector<Instance>{server(3)});
@@ -253,7 +253,7 @@
   ChangeLog next = ChangeLog::continuing(2 * kEpoch, primary);
   next.updateServers({server(1), server(2)});
   const auto delta = next.deltaSince(primary.position(), 0);
-  EXPECT_TRUE(delta.listed);
+  EXPECT_TRUE(delta.hasServerList);
   EXPECT_FALSE(delta.servers);
   EXPECT_EQ(delta.index, next.index());
 }
@@ -335,7 +335,7 @@
     relay.handleResponse(1, sent(response, toRelay), 1);
     const double relayMs = passed();
     FollowerState state(kLease);
-    const auto answer = sent(relay.answer(2, requestOf(state, 0)), toGatekeeper);
+    const auto answer = sent(relay.handleRequest(2, requestOf(state, 0)), toGatekeeper);
     const double answeredMs = passed();
     const auto read = parseConfiguration(*answer.delta.configuration);
     ASSERT_TRUE(std::holds_alternative<Configuration>(read));
--- a/tests/fleet/configuration_pack_test.cpp
+++ b/tests/fleet/configuration_pack_test.cpp
@@ -88,7 +88,7 @@
   EXPECT_EQ(relay.revision(), 0u);
   FollowRequest request;
   request.name = "g";
-  EXPECT_EQ(relay.answer(20, request).epoch, 0u) << "it knows of a version that it does not have";
+  EXPECT_EQ(relay.handleRequest(20, request).epoch, 0u) << "it knows of a version that it does not have";
   EXPECT_FALSE(relay.nextRequest(20, ReportScope::full).acceptsPacked);
   response.delta.packedConfiguration = packer.pack(8, 0);
   relay.handleResponse(30, *parseFollowResponse(toFrame(response)), 25);
--- a/tests/fleet/follow_world.hpp
+++ b/tests/fleet/follow_world.hpp
@@ -384,7 +384,7 @@
     return out;
   }
   FollowResponse relayAnswers(std::size_t h, const FollowRequest& call) {
-    FollowResponse out = hosts_[h]->relay->answer(hosts_[h]->clock.at(events_.now()), call);
+    FollowResponse out = hosts_[h]->relay->handleRequest(hosts_[h]->clock.at(events_.now()), call);
     if (out.delta.isSnapshot()) ++figures_.snapshots;
     return out;
   }
@@ -415,7 +415,7 @@
                 Host& mine = *hosts_[h];
                 Millis wait = kInterval;
                 if (response && response->epoch != 0) {
-                  mine.link.known = response->known;
+                  mine.link.known = response->holdingsKnown;
                   mine.relay->handleResponse(mine.clock.at(events_.now()), *response, mine.link.sentAt);
                 } else {
                   mine.relay->requestFailed();
@@ -450,7 +450,7 @@
                  });
   }
   void take(Gateway& gateway, const FollowResponse& response) {
-    gateway.link.known = response.known;
+    gateway.link.known = response.holdingsKnown;
     gateway.link.failures = 0;
     const auto epoch = gateway.state->epoch();
     const ListPosition before = gateway.state->position();
--- a/tests/fleet/relay_test.cpp
+++ b/tests/fleet/relay_test.cpp
@@ -36,21 +36,21 @@
   FollowRequest request;
   request.name = "g";
   request.full = true;
-  EXPECT_EQ(relay.answer(0, request).epoch, 0u) << "it has heard nothing yet";
+  EXPECT_EQ(relay.handleRequest(0, request).epoch, 0u) << "it has heard nothing yet";
   FollowResponse response;
   response.epoch = 5 << 20;
   response.listAgeMs = 400;
   relay.handleResponse(100, response, 90);
-  const auto answer = relay.answer(300, request);
+  const auto answer = relay.handleRequest(300, request);
   EXPECT_DOUBLE_EQ(answer.listAgeMs.value(), 400);
   EXPECT_DOUBLE_EQ(parseFollowResponse(toFrame(answer))->listAgeMs.value(), 400);
   EXPECT_EQ(answer.epoch, response.epoch);
   EXPECT_DOUBLE_EQ(answer.ageMs, 210);
-  EXPECT_EQ(relay.answer(2200, request).epoch, 0u);
+  EXPECT_EQ(relay.handleRequest(2200, request).epoch, 0u);
   FollowResponse older = response;
   older.epoch = 4 << 20;
   relay.handleResponse(2300, older, 2290);
-  EXPECT_EQ(relay.answer(2300, request).epoch, 0u) << "what an older primary says renews nothing";
+  EXPECT_EQ(relay.handleRequest(2300, request).epoch, 0u) << "what an older primary says renews nothing";
 }
 
 // A relay that came before the primary had read its first list gets a snapshot later, and forwards it.
@@ -121,11 +121,11 @@
     request.name = name;
     request.zone = "z";
     request.demands = {{"t", 5, 0, 0, 0, 0, 4}};
-    EXPECT_NE(relay.answer(20, request).epoch, 0u);
+    EXPECT_NE(relay.handleRequest(20, request).epoch, 0u);
   }
   relay.drain();
   request.name = "heard";
-  const auto on = relay.answer(30, request);
+  const auto on = relay.handleRequest(30, request);
   EXPECT_EQ(on.epoch, 0u);
   EXPECT_EQ(on.leader, "10.0.0.2:1") << "the other one of its zone";
   const auto last = parseFollowRequest(toFrame(relay.detachRequest(40)));
--- a/tests/fleet/snapshot_pack_test.cpp
+++ b/tests/fleet/snapshot_pack_test.cpp
@@ -29,8 +29,8 @@
   packer.add(8, body);
   FollowResponse response;
   response.epoch = 5 << 20;
-  response.delta.listed = true;
-  response.delta.servers.emplace().snapshot = true;
+  response.delta.hasServerList = true;
+  response.delta.servers.emplace().isSnapshot = true;
   response.delta.index = 4;
   response.delta.revision = 8;
   response.delta.servers->updated = servers(809);
@@ -38,7 +38,7 @@
   response.delta.servers->packedUpdated =
       snapshots.pack({response.epoch, 4}, response.delta.servers->updated);
   ASSERT_TRUE(response.delta.servers->packedUpdated);
-  EXPECT_LT(response.delta.servers->packedUpdated->bytes.size(), 809 * BulkPacer::kServerBytes / 4);
+  EXPECT_LT(response.delta.servers->packedUpdated->bytes.size(), 809 * BulkPacer::kEstimatedServerBytes / 4);
   EXPECT_EQ(snapshots.pack({response.epoch, 4}, response.delta.servers->updated),
             response.delta.servers->packedUpdated)
       << "packed once for all";
--- a/tests/gateway/gateway_harness.hpp
+++ b/tests/gateway/gateway_harness.hpp
@@ -285,7 +285,7 @@
     FollowResponse answer;
     answer.epoch = log_.epoch();
     answer.delta = log_.deltaSince(call->position, call->revision);
-    answer.gatekeepers = 1;
+    answer.gatewayCount = 1;
     reply(toFrame(answer));
   }
 
--- a/tests/golden/samples.hpp
+++ b/tests/golden/samples.hpp
@@ -214,7 +214,7 @@
   FollowRequest out = gatewayCall();
   out.relay.emplace();
   out.relay->address = "127.0.0.4:7004";
-  out.relay->gatekeepers = 15;
+  out.relay->gatewayCount = 15;
   out.relay->priorGrantsReported = true;
   return out;
 }
@@ -251,7 +251,7 @@
 inline FollowResponse plainAnswer() {
   FollowResponse out;
   out.epoch = 3 * kRound + 2;
-  out.delta.listed = true;
+  out.delta.hasServerList = true;
   out.delta.index = 1;
   return out;
 }
@@ -262,10 +262,10 @@
   out.epoch = 3 * kRound + 2;
   out.ageMs = 250.5;
   out.listAgeMs = 12.25;
-  out.delta.listed = true;
+  out.delta.hasServerList = true;
   out.delta.index = 20;
   out.delta.revision = 13;
-  out.gatekeepers = 99;
+  out.gatewayCount = 99;
   out.quotaGrants.number = 18;
   out.quotaGrants.grants = {grantOf("tenant-a", false), grantOf("tenant-b", true)};
   out.retryGrants.number = 21;
@@ -288,7 +288,7 @@
 inline FollowResponse snapshotAnswer() {
   FollowResponse out = fullAnswer();
   out.delta.servers.emplace();
-  out.delta.servers->snapshot = true;
+  out.delta.servers->isSnapshot = true;
   out.delta.servers->updated = servers();
   return out;
 }
@@ -321,7 +321,7 @@
 inline FollowResponse packedListAnswer() {
   FollowResponse out = packedConfigurationAnswer();
   out.delta.servers.emplace();
-  out.delta.servers->snapshot = true;
+  out.delta.servers->isSnapshot = true;
   std::vector<Instance> list;
   for (int i = 0; i < 3; ++i)
     for (Instance each : servers()) {
@@ -335,7 +335,7 @@
 inline FollowResponse nothingKnownAnswer() {
   FollowResponse out;
   out.epoch = 3 * kRound + 2;
-  out.known = false;
+  out.holdingsKnown = false;
   out.listAgeMs.reset();
   return out;
 }
