--- a/src/control/core_member.hpp
+++ b/src/control/core_member.hpp
@@ -39,7 +39,7 @@
     // This node is no longer the primary; whether a pending proposal will be committed is open.
     virtual void onPrimacyLost() = 0;
     // There is a replica now, though the store could not be opened when the process started.
-    virtual void onOpenedLate() = 0;
+    virtual void onReplicaAvailable() = 0;
   };
 
   CoreMember(boost::asio::io_context& io, NodeId self, const NodeSettings& settings, PeerDiscovery& discovery,
@@ -64,14 +64,14 @@
   // ReplicaHost
   void send(const NodeId& to, const MemberMessage& message) override { links_.send(to, message); }
   bool store(const DurableState& durable) override;
-  void committed(const ReplicatedState& state) override { observer_.onCommitted(state); }
-  void lostPrimacy() override { observer_.onPrimacyLost(); }
+  void onCommitted(const ReplicatedState& state) override { observer_.onCommitted(state); }
+  void onPrimacyLost() override { observer_.onPrimacyLost(); }
   void log(const std::string& line) override { log_(line); }
 
   bool tryOpen();
   void open();
   void retryOpen();
-  void publishOwnView();
+  void publishLocalView();
   void updateContacts();
 
   const NodeId self_;
--- a/src/control/internal_api.cpp
+++ b/src/control/internal_api.cpp
@@ -23,12 +23,13 @@
 
 void InternalApi::handle(Frame&& frame, const FrameServer::Reply& reply) {
   ++requestCount_;
-  if (const auto presence = parsePeerAnnouncement(frame)) return reply(discovery_.answer(*presence));
+  if (const auto presence = parsePeerAnnouncement(frame))
+    return reply(discovery_.handleAnnouncement(*presence));
   Replica* replica = member_.replica();
   if (!replica) return reply(toFrame(follows_.redirectToCore()));
   if (const auto request = parseFollowRequest(frame))
     return reply(toFrame(follows_.answer(*request, *replica)));
-  const auto message = memberMessageOf(std::move(frame));
+  const auto message = decodeMemberMessage(std::move(frame));
   reply(acknowledgement());
   if (message) replica->receive(steadyMs(), *message);
 }
