--- a/include/lilacmux/decision_engine.hpp
+++ b/include/lilacmux/decision_engine.hpp
@@ -27,7 +27,7 @@
 enum class ServerPhase { gone, ready, draining };
 // The result of an attempt. full: the server was at its limit and did not run it. connectFailed: the attempt
 // was never sent. cancelled: the gateway ended it. abandoned: its response is no longer needed, and it did
-// not run. malformed: the response was malformed; the attempt has run, and its server counts as healthy.
+// not run. malformed: the attempt has run; the malformed response says nothing about its server's health.
 enum class AttemptResult { ok, error, full, timeout, connectFailed, reset, cancelled, abandoned, malformed };
 
 // Settings of a request class. All numbers are finite and at least 0.
