--- a/src/consensus/accepted_changes.cpp
+++ b/src/consensus/accepted_changes.cpp
@@ -25,10 +25,12 @@
 
 AcceptedChanges::AcceptedChanges(std::uint64_t compactedRevision, std::vector<AcceptedChange> entries)
     : compactedRevision_(compactedRevision), entries_(std::move(entries)) {
-  std::uint64_t before = compactedRevision_;
+  std::uint64_t previous = compactedRevision_;
   for (const AcceptedChange& entry : entries_) {
-    if (entry.revision <= before) throw std::invalid_argument("revisions of accepted changes do not rise");
-    before = entry.revision;
+    if (entry.revision <= previous)
+      throw std::invalid_argument("revisions of accepted changes are not ascending: " +
+                                  std::to_string(entry.revision) + " after " + std::to_string(previous));
+    previous = entry.revision;
   }
 }
 
@@ -40,9 +42,9 @@
 void AcceptedChanges::add(const AcceptedChange& change, std::size_t capacity) {
   entries_.push_back(change);
   if (entries_.size() <= capacity) return;
-  const auto kept = entries_.end() - static_cast<std::ptrdiff_t>(capacity);
-  compactedRevision_ = std::prev(kept)->revision;
-  entries_.erase(entries_.begin(), kept);
+  const auto firstRetained = entries_.end() - static_cast<std::ptrdiff_t>(capacity);
+  compactedRevision_ = std::prev(firstRetained)->revision;
+  entries_.erase(entries_.begin(), firstRetained);
 }
 
 bool AcceptedChanges::contains(const Digest& digest) const {
@@ -61,7 +63,9 @@
 }
 
 AcceptedChanges AcceptedChanges::unpack(std::uint64_t compactedRevision, std::string_view packedEntries) {
-  if (packedEntries.size() % kEntryBytes != 0) throw std::invalid_argument("accepted changes are not whole");
+  if (packedEntries.size() % kEntryBytes != 0)
+    throw std::invalid_argument("accepted changes truncated: " + std::to_string(packedEntries.size()) +
+                                " bytes are not a multiple of " + std::to_string(kEntryBytes));
   std::vector<AcceptedChange> entries;
   entries.reserve(packedEntries.size() / kEntryBytes);
   for (; !packedEntries.empty(); packedEntries.remove_prefix(kEntryBytes))
--- a/src/consensus/digest.hpp
+++ b/src/consensus/digest.hpp
@@ -1,4 +1,4 @@
-// SHA-256 digests, by which bodies are told apart.
+// SHA-256 digests, which identify request bodies.
 #pragma once
 
 #include <array>
@@ -9,7 +9,7 @@
 
 using Digest = std::array<std::uint8_t, 32>;
 
-// Throws std::runtime_error if the library has no SHA-256.
+// Throws std::runtime_error if OpenSSL does not provide SHA-256.
 Digest sha256(std::string_view bytes);
 
 }  // namespace lilacmux
--- a/src/consensus/durable_state.hpp
+++ b/src/consensus/durable_state.hpp
@@ -1,4 +1,4 @@
-// What a member of the core keeps on disk: its vote, the epoch record that it has accepted, and the
+// The state that a control node persists: its vote, the newest epoch record that it has accepted, and the
 // replicated state.
 #pragma once
 
@@ -9,16 +9,19 @@
 
 namespace lilacmux {
 
-// Must be on disk before any message that follows from it is sent.
+// Must be on disk before any message that depends on it is sent.
 struct DurableState {
-  // The newest epoch voted for, or accepted since; messages of older epochs are rejected.
+  // The newest epoch that this node has voted for or accepted a record of; messages of older epochs are
+  // rejected.
   std::uint64_t votedEpoch = 0;
   NodeId votedFor;
-  EpochRecord record;           // the newest one accepted
+  EpochRecord record;           // the newest accepted record
   std::uint64_t dataEpoch = 0;  // the epoch for which `state` is complete
-  // A disk was lost here: what was stored under records up to this epoch is unknown. 0: none was lost.
+  // After a disk loss: this node may have stored state under records up to this epoch and lost it. 0: no disk
+  // was lost.
   std::uint64_t lostEpoch = 0;
-  // The newest epoch known to have been established. Written only along with other changes, so it may lag.
+  // The newest epoch known to be established. May lag behind, since it is written only together with other
+  // changes.
   std::uint64_t establishedEpoch = 0;
   ReplicatedState state;
 };
--- a/src/consensus/epoch_record.cpp
+++ b/src/consensus/epoch_record.cpp
@@ -5,10 +5,10 @@
 namespace lilacmux {
 namespace {
 
-bool isMajority(const std::vector<NodeId>& of, const std::set<NodeId>& nodes) {
+bool isMajority(const std::vector<NodeId>& members, const std::set<NodeId>& nodes) {
   const auto present =
-      std::count_if(of.begin(), of.end(), [&](const NodeId& n) { return nodes.contains(n); });
-  return static_cast<std::size_t>(present) > of.size() / 2;
+      std::count_if(members.begin(), members.end(), [&](const NodeId& n) { return nodes.contains(n); });
+  return static_cast<std::size_t>(present) > members.size() / 2;
 }
 
 }  // namespace
--- a/src/consensus/member_message.hpp
+++ b/src/consensus/member_message.hpp
@@ -1,4 +1,4 @@
-// Messages between members of the core.
+// Messages between the control nodes that run the consensus core.
 #pragma once
 
 #include <cstdint>
@@ -9,19 +9,19 @@
 
 namespace lilacmux {
 
-// One message of any kind. All kinds carry the sender's record and how much of the state it has.
+// A message of any kind. Every kind carries the sender's epoch record and describes which state it has.
 struct MemberMessage {
   enum class Kind {
-    announce,         // a node that hears no primary makes itself known to members and seeds
-    heartbeat,        // the primary's, with its record; asks for a lease
-    heartbeatAck,     // `granted`: record accepted, lease granted
-    prevoteRequest,   // whether the receiver would vote for the sender; changes nothing there
-    prevoteResponse,  // `granted`: yes
-    voteRequest,      // asks for the vote in the term of `epoch`
-    voteResponse,     // `granted`: the vote is on disk
-    replicate,        // the state, to a backup
-    replicateAck,     // the state is on this backup's disk
-    resign,           // the primary shuts down gracefully
+    announce,         // sent to members and seeds by a node that knows of no primary, and by observers
+    heartbeat,        // sent by the primary with its record; requests a lease
+    heartbeatAck,     // `granted`: the record is accepted and the lease granted
+    prevoteRequest,   // asks whether the receiver would vote for the sender; no state changes
+    prevoteResponse,  // `granted`: the receiver would vote for the sender
+    voteRequest,      // requests a vote in the term of `epoch`
+    voteResponse,     // `granted`: the vote is cast and on disk
+    replicate,        // sends the replicated state to a backup
+    replicateAck,     // the state is on the backup's disk
+    resign,           // sent by a primary that shuts down gracefully
   };
   Kind kind = Kind::announce;
   NodeId from;
@@ -29,11 +29,11 @@
   bool granted = false;
   EpochRecord record;
   std::uint64_t dataEpoch = 0, lostEpoch = 0, establishedEpoch = 0;  // as in DurableState
-  std::uint64_t sequence = 0;                                        // of the sender's state
-  // announce, heartbeat: the sender's clock. heartbeatAck: that of the heartbeat that it answers.
+  std::uint64_t sequence = 0;  // number of the newest change in the sender's state
+  // announce, heartbeat: the time of sending, by the sender's clock. heartbeatAck: copied from the heartbeat.
   Millis sentAt = 0;
-  // heartbeat: the `sentAt` of the receiver's newest announcement that the sender has had, below any clock if
-  // it had none. Nothing: the sender's version does not tell.
+  // heartbeat: the `sentAt` of the newest announcement that the sender has received from the receiver, or
+  // kNever if it has received none. nullopt: the sender's version does not report it.
   std::optional<Millis> lastAnnouncementSentAt;
   std::optional<ReplicatedState> state;  // replicate
 };
--- a/src/consensus/member_message_codec.hpp
+++ b/src/consensus/member_message_codec.hpp
@@ -1,5 +1,5 @@
-// Encodes messages between members as frames, and decodes them. The keys and kinds in frames are fixed:
-// versions run beside each other during a roll-out.
+// Encodes messages between members as frames and decodes them. The keys and kinds in frames are fixed,
+// because different versions run side by side during a roll-out.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 void from_json(const nlohmann::json& in, ReplicaSet& replicaSet);
 
 Frame toFrame(const MemberMessage& message);
-// Nothing: the frame is not a message between members, or is malformed.
+// Returns nullopt if the frame is not a message between members or is malformed.
 std::optional<MemberMessage> decodeMemberMessage(Frame&& frame);
 
 }  // namespace lilacmux
--- a/src/consensus/millis.hpp
+++ b/src/consensus/millis.hpp
@@ -1,11 +1,11 @@
-// Time as the consensus core sees it.
+// The time type of the consensus core.
 #pragma once
 
 namespace lilacmux {
 
-using Millis = double;  // of the host's monotonic clock
+using Millis = double;  // milliseconds of the host's monotonic clock
 
-// Before any time that a clock shows.
+// Earlier than any time of a clock: the event has not happened.
 constexpr Millis kNever = -1e18;
 
 }  // namespace lilacmux
--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -5,8 +5,9 @@
 namespace lilacmux {
 namespace {
 
-constexpr Millis kAnnounceEvery = 1000;
-constexpr double kObserverLeases = 2;  // without a heartbeat, until an observer knows of no primary
+constexpr Millis kAnnounceInterval = 1000;
+// After this many lease durations without a heartbeat an observer considers the primary unknown.
+constexpr double kObserverTimeoutInLeases = 2;
 
 }  // namespace
 
@@ -32,9 +33,9 @@
 bool Replica::persist() {
   if (failed_) return false;
   if (host_.store(durable_)) return true;
-  // What cannot be stored must not be acknowledged: this node sends nothing from here on.
+  // A change that is not on disk must not be acknowledged: this node sends nothing from here on.
   failed_ = true;
-  stepDown("its state cannot be stored");
+  stepDown("the state cannot be written to disk");
   return false;
 }
 
@@ -93,12 +94,12 @@
 
 void Replica::tick(Millis now) {
   if (failed_ || resigned_) return;
-  // Members announce themselves only while they know of no primary; observers always, so that it sends them
-  // heartbeats.
+  // Members announce themselves only while they know of no primary. Observers always do, so that the primary
+  // sends them heartbeats.
   const bool knowsPrimary = primary_ || isBoundByLease(now);
-  if (now - lastAnnouncedAt_ >= kAnnounceEvery && (!isMember() || !knowsPrimary)) announce(now);
+  if (now - lastAnnouncedAt_ >= kAnnounceInterval && (!isMember() || !knowsPrimary)) announce(now);
   if (!isMember()) {
-    if (now - lastHeartbeatAt_ > kObserverLeases * timing_.leaseDuration) knownPrimary_.clear();
+    if (now - lastHeartbeatAt_ > kObserverTimeoutInLeases * timing_.leaseDuration) knownPrimary_.clear();
     return;
   }
   primary_ ? tickPrimary(now) : tickFollower(now);
@@ -106,11 +107,11 @@
 
 void Replica::announce(Millis now) {
   lastAnnouncedAt_ = now;
-  std::set<NodeId> to = memberSet();
-  to.insert(contacts_.begin(), contacts_.end());
-  to.insert(knownMembers_.begin(), knownMembers_.end());
-  to.erase(self_);
-  for (const NodeId& node : to) sendAnnouncement(now, node);
+  std::set<NodeId> receivers = memberSet();
+  receivers.insert(contacts_.begin(), contacts_.end());
+  receivers.insert(knownMembers_.begin(), knownMembers_.end());
+  receivers.erase(self_);
+  for (const NodeId& receiver : receivers) sendAnnouncement(now, receiver);
 }
 
 void Replica::sendAnnouncement(Millis now, const NodeId& to) const {
@@ -120,9 +121,9 @@
 }
 
 void Replica::tickPrimary(Millis now) {
-  // Before any heartbeat: after a freeze nobody may hear of a primary that may have been replaced.
+  // Checked before heartbeats are sent: after a freeze this node may have been replaced as the primary.
   if (now >= std::max(leaseUntil(now), electedAt_ + timing_.leaseDuration)) {
-    stepDown("no majority has answered for a lease's time");
+    stepDown("no quorum has acknowledged a heartbeat within the lease duration");
     noElectionBefore_ = now + timing_.electionStagger;
     return;
   }
@@ -138,7 +139,7 @@
   if (!primary_) return;
   const bool wasEstablished = established_;
   const MemberMessage resignation = makeMessage(MemberMessage::Kind::resign);
-  stepDown("it leaves");
+  stepDown("this node is shutting down");
   if (wasEstablished) broadcast(resignation);
 }
 
--- a/src/consensus/replica_election.cpp
+++ b/src/consensus/replica_election.cpp
@@ -1,4 +1,4 @@
-// Elections (prevote and vote), and the epochs that a primary opens.
+// Elections (prevote and vote) and the epochs that a primary opens.
 #include <xxhash.h>
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 
 namespace lilacmux {
 
-// A lease forbids votes against the primary that it was granted to, not a vote that lets that one return.
+// A lease forbids votes for any candidate but the primary that it was granted to. That primary, after a
+// restart, may still get the vote.
 bool Replica::mayVoteFor(Millis now, const NodeId& candidate) const {
   if (diskIsEmpty_) return false;
   if (primary_) return now >= leaseUntil(now);
@@ -15,7 +16,8 @@
          (candidate == durable_.votedFor && (knownPrimary_.empty() || knownPrimary_ == candidate));
 }
 
-// To all that may be members and have not voted yet: this node's own record may not be the newest.
+// Sends to all nodes that may be members and have not voted yet. Includes members of newer records received
+// from peers, since this node's own record may be outdated.
 void Replica::sendToPossibleVoters(const MemberMessage& message) {
   std::set<NodeId> voters = memberSet();
   voters.insert(knownMembers_.begin(), knownMembers_.end());
@@ -24,7 +26,7 @@
     if (!election_->votes().contains(voter)) host_.send(voter, message);
 }
 
-// Repeated while the election is open: a request or its response may have been lost.
+// Called repeatedly while the election is open, since a request or its response may be lost.
 void Replica::requestVotes() {
   const bool isPrevote = election_->phase() == Election::Phase::prevote;
   MemberMessage request =
@@ -44,31 +46,32 @@
   startPrevote(now);
 }
 
-// Members start elections in turns. Where two have split the votes their turns may fall together again and
-// again, each as late as its election before; so after a lost election the turn is another one each time.
+// Returns the delay before this member starts an election, staggered by its index among the members. Two
+// members that split the votes could collide again and again with fixed delays; so after a lost election the
+// delay is drawn anew for each term from a hash of the node and the voted epoch.
 Millis Replica::electionDelay() const {
   const auto& members = durable_.record.members;
-  const auto place = std::lower_bound(members.begin(), members.end(), self_) - members.begin();
+  const auto index = std::lower_bound(members.begin(), members.end(), self_) - members.begin();
   if (lostLastElection_) {
-    const std::uint64_t drawn = XXH3_64bits_withSeed(self_.data(), self_.size(), durable_.votedEpoch);
-    return timing_.electionStagger * static_cast<double>(drawn % (2 * members.size()));
+    const std::uint64_t hash = XXH3_64bits_withSeed(self_.data(), self_.size(), durable_.votedEpoch);
+    return timing_.electionStagger * static_cast<double>(hash % (2 * members.size()));
   }
-  // The last primary, after a restart, needs no stagger: the others may vote for it at once.
-  const bool ledLast = durable_.record.primary == self_ && durable_.votedFor == self_;
-  return timing_.electionStagger * (ledLast ? 0.0 : static_cast<double>(place));
+  // The last primary needs no delay after a restart: the others may vote for it at once.
+  const bool wasLastPrimary = durable_.record.primary == self_ && durable_.votedFor == self_;
+  return timing_.electionStagger * (wasLastPrimary ? 0.0 : static_cast<double>(index));
 }
 
-// Asks who would vote before it votes for itself, so that a member that cannot win, since the others are
-// bound by a lease or have newer state, disturbs nobody.
+// Asks the others whether they would vote for this node before it opens a term and votes for itself. A member
+// that cannot win, because the others are bound by a lease or have newer state, thus disturbs no primary.
 void Replica::startPrevote(Millis now) {
   noElectionBefore_ = 0;
   election_.emplace(self_, Election::Phase::prevote, 0, now);
-  if (election_->isWon(durable_)) return startElection(now);  // a core of one
+  if (election_->isWon(durable_)) return startElection(now);  // a core with a single member
   requestVotes();
 }
 
-// Members and others vote alike: the newest record among the votes, which this node may not have accepted
-// yet, tells which of them count.
+// Observers respond like members: the candidate decides which votes count by the newest record among them,
+// which this node may not have accepted yet.
 void Replica::onPrevoteRequest(Millis now, const MemberMessage& message) {
   MemberMessage response = makeMessage(MemberMessage::Kind::prevoteResponse);
   response.granted = mayVoteFor(now, message.from);
@@ -97,13 +100,14 @@
 void Replica::onVoteRequest(Millis now, const MemberMessage& message) {
   MemberMessage response = makeMessage(MemberMessage::Kind::voteResponse);
   response.epoch = durable_.votedEpoch;
-  // A repeated request: the vote stands, and nothing of another term has been accepted since.
+  // For a repeated request the vote stands, unless a record of this term or a later one has been accepted
+  // since.
   const bool hasVoted = message.epoch == durable_.votedEpoch && message.from == durable_.votedFor &&
                         durable_.record.epoch < message.epoch && !diskIsEmpty_;
   response.granted = hasVoted;
   if (hasVoted || message.epoch <= durable_.votedEpoch || !mayVoteFor(now, message.from))
     return host_.send(message.from, response);
-  if (primary_) stepDown("its lease has run out and another starts an election");
+  if (primary_) stepDown("the lease has expired and " + message.from + " has started an election");
   durable_.votedEpoch = message.epoch;
   durable_.votedFor = message.from;
   if (!persist()) return;
@@ -128,10 +132,10 @@
 }
 
 void Replica::becomePrimary(Millis now) {
-  const Election won = std::move(*election_);
+  const Election election = std::move(*election_);
   election_.reset();
-  for (const auto& [from, vote] : won.votes()) peers_[from].lastContactAt = now;
-  openEpoch(now, won.successor(durable_, timing_.toleratedLosses));
+  for (const auto& [from, vote] : election.votes()) peers_[from].lastContactAt = now;
+  openEpoch(now, election.successor(durable_, timing_.toleratedLosses));
 }
 
 std::uint64_t Replica::nextTerm() const {
@@ -139,7 +143,7 @@
          << kStepBits;
 }
 
-// Leads from here on, as yet without an established record.
+// Makes this node the primary of a new epoch, which is not established yet.
 void Replica::openEpoch(Millis now, const EpochRecord& record) {
   durable_.votedEpoch = record.epoch;
   durable_.votedFor = self_;
@@ -156,9 +160,9 @@
   tickPrimary(now);
 }
 
-// Another record in the same term, which needs no vote.
+// Opens the next step of the current term, which needs no vote.
 void Replica::openNextEpoch(Millis now, EpochRecord next) {
-  if (durable_.votedEpoch != durable_.record.epoch) {  // its last election was not won: another one first
+  if (durable_.votedEpoch != durable_.record.epoch) {  // it lost an election since and must win one first
     if (now >= noElectionBefore_) startElection(now);
     return;
   }
@@ -170,13 +174,13 @@
   openEpoch(now, next);
 }
 
-void Replica::stepDown(const std::string& why) {
+void Replica::stepDown(const std::string& reason) {
   if (!primary_) return;
   primary_ = established_ = proposalPending_ = false;
   committed_.reset();
   peers_.clear();
   knownPrimary_.clear();
-  host_.log("no longer primary: " + why);
+  host_.log("no longer primary: " + reason);
   host_.onPrimacyLost();
 }
 
--- a/src/consensus/replica_lease.cpp
+++ b/src/consensus/replica_lease.cpp
@@ -1,11 +1,11 @@
-// Heartbeats, and the leader leases that members grant by answering them.
+// Heartbeats, and the leader leases that members grant by acknowledging them.
 #include <algorithm>
 
 #include "consensus/replica.hpp"
 
 namespace lilacmux {
 
-// When the newest heartbeat was sent that a quorum, this node included, has answered.
+// Returns the send time of the newest heartbeat that a quorum, which includes this node, has acknowledged.
 Millis Replica::quorumAckedAt(Millis now) const {
   const auto ackedBy = [&](const std::vector<NodeId>& members) {
     std::vector<Millis> acked;
@@ -23,13 +23,13 @@
   return record.oldMembers.empty() ? acked : std::min(acked, ackedBy(record.oldMembers));
 }
 
-// The end of the lease that a quorum, this node included, has granted the primary.
+// Returns the end of the lease that a quorum, which includes this node, has granted to this primary.
 Millis Replica::leaseUntil(Millis now) const {
   return quorumAckedAt(now) + timing_.leaseDuration - timing_.clockDriftMargin;
 }
 
-// A lease granted before a restart is not on disk, but it can only be that of the candidate voted for in the
-// newest epoch.
+// Leases granted before a restart are not on disk. Only the candidate voted for in the newest epoch can hold
+// such a lease.
 bool Replica::isBoundByLease(Millis now) const {
   if (now < lastHeartbeatAt_ + timing_.leaseDuration) return true;
   return !isFirstStart_ && durable_.votedFor != self_ && now < startedAt_ + timing_.leaseDuration;
@@ -52,24 +52,24 @@
   host_.send(to, heartbeat);
 }
 
-// A member with an empty disk may have voted in a newer term before. It accepts a record only from a primary
-// that has received its announcement after it had listened: a heartbeat may have been in flight for as long
-// as a connection lives, and its sender may have been replaced meanwhile.
+// A member with an empty disk may have voted in a newer term before the disk was lost. It accepts a record
+// only from a primary that has received an announcement made after the join delay: a heartbeat may have been
+// in flight for as long as a connection lives, and its sender may have been replaced in the meantime.
 bool Replica::mayAcceptRecord(Millis now, const MemberMessage& heartbeat) const {
   if (!diskIsEmpty_) return true;
   const Millis joinsAt = startedAt_ + timing_.emptyDiskJoinDelay;
-  const Millis seen = heartbeat.lastAnnouncementSentAt.value_or(now);
-  return now >= joinsAt && seen >= joinsAt && seen <= now;
+  const Millis announcedAt = heartbeat.lastAnnouncementSentAt.value_or(now);
+  return now >= joinsAt && announcedAt >= joinsAt && announcedAt <= now;
 }
 
 void Replica::onHeartbeat(Millis now, const MemberMessage& message) {
   MemberMessage response = makeMessage(MemberMessage::Kind::heartbeatAck);
   response.sentAt = message.sentAt;
   response.epoch = durable_.votedEpoch;
-  const bool stale =
+  const bool isStale =
       message.epoch < std::max(durable_.votedEpoch, durable_.record.epoch) ||
       (termOf(message.epoch) == termOf(durable_.votedEpoch) && durable_.votedFor != message.from);
-  if (stale) return host_.send(message.from, response);
+  if (isStale) return host_.send(message.from, response);
   if (primary_) stepDown("another primary has a newer epoch");
   knownPrimary_ = message.from;
   lastHeartbeatAt_ = now;
@@ -91,12 +91,12 @@
   host_.send(message.from, response);
 }
 
-// A member that has voted in a later term, which nobody won, accepts nothing of this one: an election in a
-// newer term wins it back.
+// A member that has voted in a later term, in which no candidate won, accepts nothing of this term. Winning
+// an election in a newer term regains that member.
 void Replica::onHeartbeatRejected(Millis now, const MemberMessage& message) {
   highestVotedEpoch_ = std::max(highestVotedEpoch_, message.epoch);
-  const bool ofThisEpoch = message.sentAt >= epochOpenedAt_;
-  if (ofThisEpoch && termOf(message.epoch) >= termOf(durable_.record.epoch) && now >= noElectionBefore_)
+  const bool isOfThisEpoch = message.sentAt >= epochOpenedAt_;
+  if (isOfThisEpoch && termOf(message.epoch) >= termOf(durable_.record.epoch) && now >= noElectionBefore_)
     startElection(now);
 }
 
@@ -110,9 +110,11 @@
   if (message.epoch != durable_.record.epoch) return;
   if (durable_.record.backups.empty() && !established_) return replicate(now);
   if (!durable_.record.isBackup(message.from)) return;
-  const bool lacksState = message.dataEpoch < durable_.record.epoch;  // a new backup, or its disk was lost
-  const bool due = peer.stateSentAt < epochOpenedAt_ || now - peer.stateSentAt >= timing_.resendInterval;
-  if ((lacksState || !peer.ackedSequence) && due) replicateTo(now, message.from);
+  const bool lacksState =
+      message.dataEpoch < durable_.record.epoch;  // a new backup, or a backup that lost its disk
+  const bool isResendDue =
+      peer.stateSentAt < epochOpenedAt_ || now - peer.stateSentAt >= timing_.resendInterval;
+  if ((lacksState || !peer.ackedSequence) && isResendDue) replicateTo(now, message.from);
 }
 
 }  // namespace lilacmux
--- a/src/consensus/replica_membership.cpp
+++ b/src/consensus/replica_membership.cpp
@@ -1,4 +1,4 @@
-// Membership changes: which nodes are members and backups, and who replaces an unresponsive one.
+// Membership changes: choosing members and backups, and replacing unresponsive ones.
 #include <algorithm>
 
 #include "consensus/replica.hpp"
@@ -6,26 +6,27 @@
 namespace lilacmux {
 namespace {
 
-constexpr Millis kObserverTimeout = 5000;  // until an observer that announces itself no more is dropped
-constexpr Millis kAliveWithin = 700;       // of its last message, a node counts as alive
+constexpr Millis kObserverTimeout = 5000;  // without an announcement, until an observer is dropped
+constexpr Millis kResponsiveWithin = 700;  // of its last message a node counts as responsive
 
 }  // namespace
 
-// Remembers the members of the newest record that any message carried.
-void Replica::learnMembers(const EpochRecord& theirs) {
-  if (theirs.members.empty() || theirs.epoch < knownMembersEpoch_) return;
-  knownMembers_ = theirs.members;
-  knownMembers_.insert(knownMembers_.end(), theirs.oldMembers.begin(), theirs.oldMembers.end());
-  knownMembersEpoch_ = theirs.epoch;
+// Stores the members of the newest record received in any message.
+void Replica::learnMembers(const EpochRecord& record) {
+  if (record.members.empty() || record.epoch < knownMembersEpoch_) return;
+  knownMembers_ = record.members;
+  knownMembers_.insert(knownMembers_.end(), record.oldMembers.begin(), record.oldMembers.end());
+  knownMembersEpoch_ = record.epoch;
 }
 
 void Replica::onAnnounce(Millis now, const MemberMessage& message) {
-  const EpochRecord& theirs = message.record;
-  learnMembers(theirs);
+  const EpochRecord& peerRecord = message.record;
+  learnMembers(peerRecord);
   announcements_[message.from] = message.sentAt;
-  // Not persisted: only the first start leaves members without a record on disk.
-  if (durable_.record.members.empty()) durable_.record.members = theirs.members;
-  if (theirs.epoch < durable_.record.epoch || (theirs.members.empty() && !durable_.record.members.empty()))
+  // Not persisted: only at the first start does a node know no members.
+  if (durable_.record.members.empty()) durable_.record.members = peerRecord.members;
+  if (peerRecord.epoch < durable_.record.epoch ||
+      (peerRecord.members.empty() && !durable_.record.members.empty()))
     sendAnnouncement(now, message.from);
   if (!durable_.record.hasMember(message.from)) observers_[message.from] = now;
 }
@@ -39,62 +40,63 @@
   return std::max(electedAt_, peer == peers_.end() ? kNever : peer->second.lastContactAt);
 }
 
-// Another member replaces an unresponsive backup, as far as there is one.
+// Replaces unresponsive backups by other members, as far as responsive ones are available.
 bool Replica::replaceUnresponsiveBackups(Millis now) {
   const EpochRecord& record = durable_.record;
-  std::vector<NodeId> heard;
+  std::vector<NodeId> responsive;
   for (const NodeId& backup : record.backups)
-    if (now - lastContactAt(backup) < timing_.backupTimeout) heard.push_back(backup);
+    if (now - lastContactAt(backup) < timing_.backupTimeout) responsive.push_back(backup);
   const std::size_t wanted = std::min<std::size_t>(timing_.toleratedLosses, record.members.size() - 1);
-  const bool grows = established_ && record.oldMembers.empty() && record.backups.size() < wanted;
-  if (heard.size() == record.backups.size() && !grows) return false;
-  const auto next = chooseBackups(now, heard);
-  // Unresponsive members count toward the tolerated losses: so many fewer backups are needed for further
-  // ones.
+  const bool canGrow = established_ && record.oldMembers.empty() && record.backups.size() < wanted;
+  if (responsive.size() == record.backups.size() && !canGrow) return false;
+  const auto backups = fillBackups(now, responsive);
+  // Unresponsive members count toward the tolerated losses, so the remaining losses need fewer backups.
   const auto unresponsive = static_cast<unsigned>(
       std::count_if(record.members.begin(), record.members.end(), [&](const NodeId& member) {
         return member != self_ && now - lastContactAt(member) >= timing_.backupTimeout;
       }));
-  if (unresponsive > timing_.toleratedLosses) return false;  // more likely this node is partitioned, or was
+  if (unresponsive > timing_.toleratedLosses)
+    return false;  // this node itself is or was partitioned, more likely
   const unsigned needed = std::max(1u, timing_.toleratedLosses - unresponsive);
-  if (next == record.backups || next.size() < std::min<std::size_t>(needed, record.backups.size()))
+  if (backups == record.backups || backups.size() < std::min<std::size_t>(needed, record.backups.size()))
     return false;
-  for (const NodeId& backup : next)
+  for (const NodeId& backup : backups)
     if (!record.isBackup(backup)) host_.log(backup + " becomes a backup");
-  EpochRecord other = record;
-  other.backups = next;
-  openNextEpoch(now, std::move(other));
+  EpochRecord next = record;
+  next.backups = backups;
+  openNextEpoch(now, std::move(next));
   return true;
 }
 
-// The given ones and, up to the number of losses, those of the other members that were heard from last.
-std::vector<NodeId> Replica::chooseBackups(Millis now, std::vector<NodeId> backups) const {
+// Adds responsive members to `backups`, those with the most recent contact first, until there are as many as
+// tolerated losses.
+std::vector<NodeId> Replica::fillBackups(Millis now, std::vector<NodeId> backups) const {
   std::vector<std::pair<Millis, NodeId>> others;
   for (const NodeId& member : durable_.record.members) {
     const auto peer = peers_.find(member);
     if (member == self_ || durable_.record.isBackup(member) || peer == peers_.end()) continue;
-    if (now - peer->second.lastContactAt < kAliveWithin)
+    if (now - peer->second.lastContactAt < kResponsiveWithin)
       others.emplace_back(peer->second.lastContactAt, member);
   }
   std::sort(others.rbegin(), others.rend());
-  for (const auto& [heard, member] : others)
+  for (const auto& [lastContact, member] : others)
     if (backups.size() < timing_.toleratedLosses) backups.push_back(member);
   std::sort(backups.begin(), backups.end());
   return backups;
 }
 
-// One at a time, and only while this epoch is established. The newcomer has accepted this epoch's record: it
-// is alive, and has listened for long enough to contradict no vote of its own. It fills a vacancy, or
-// replaces an unresponsive member.
+// Admits an observer to fill a vacancy or to replace an unresponsive member. Members change one at a time,
+// and only while this epoch is established. The joining member has accepted the record of this epoch: it is
+// responsive, and its join delay has passed, so it cannot contradict an earlier vote of its own.
 bool Replica::replaceMember(Millis now) {
   const EpochRecord& record = durable_.record;
   if (!established_ || !record.oldMembers.empty()) return false;
-  const auto newcomer = std::find_if(observers_.begin(), observers_.end(), [&](const auto& observer) {
+  const auto joiningMember = std::find_if(observers_.begin(), observers_.end(), [&](const auto& observer) {
     const auto peer = peers_.find(observer.first);
     return !record.hasMember(observer.first) && peer != peers_.end() &&
-           now - peer->second.lastContactAt < kAliveWithin && peer->second.acceptedEpoch == record.epoch;
+           now - peer->second.lastContactAt < kResponsiveWithin && peer->second.acceptedEpoch == record.epoch;
   });
-  if (newcomer == observers_.end()) return false;
+  if (joiningMember == observers_.end()) return false;
   const auto unresponsive =
       std::find_if(record.members.begin(), record.members.end(), [&](const NodeId& member) {
         return member != self_ && !record.isBackup(member) &&
@@ -103,11 +105,11 @@
   EpochRecord next = record;
   next.oldMembers = record.members;
   if (unresponsive != record.members.end()) {
-    host_.log(newcomer->first + " takes the place of " + *unresponsive + ", which is silent");
-    next.members[static_cast<std::size_t>(unresponsive - record.members.begin())] = newcomer->first;
+    host_.log(joiningMember->first + " replaces the unresponsive member " + *unresponsive);
+    next.members[static_cast<std::size_t>(unresponsive - record.members.begin())] = joiningMember->first;
   } else if (record.members.size() < 2 * timing_.toleratedLosses + 1) {
-    host_.log(newcomer->first + " becomes a member");
-    next.members.push_back(newcomer->first);
+    host_.log(joiningMember->first + " becomes a member");
+    next.members.push_back(joiningMember->first);
   } else {
     return false;
   }
--- a/src/consensus/replica_replication.cpp
+++ b/src/consensus/replica_replication.cpp
@@ -1,4 +1,4 @@
-// Replication of a proposed change to the backups, and its commit.
+// Replication of a proposed change to the backups, and commit.
 #include <algorithm>
 
 #include "consensus/replica.hpp"
@@ -14,7 +14,7 @@
   replicate(now);
 }
 
-// Whether every backup has the state as it is here; always so in a core of one.
+// Returns whether every backup has this primary's state; always true in a core with a single member.
 bool Replica::areBackupsUpToDate() {
   const auto& backups = durable_.record.backups;
   return std::all_of(backups.begin(), backups.end(), [&](const NodeId& backup) {
@@ -22,8 +22,9 @@
   });
 }
 
-// Sends the state to each backup that has the record but not the state, paced. Where all have it, what was in
-// the way of a commit may be over: a lease that had run out, a member that had not accepted the record.
+// Sends the state to each backup that has accepted the record but lacks the state; repeats it once per resend
+// interval until it is acknowledged. If all backups have the state, retries the commit, which an expired
+// lease or a member that had not accepted the record may have prevented.
 void Replica::replicate(Millis now) {
   if (areBackupsUpToDate()) return tryCommit(now);
   for (const NodeId& backup : durable_.record.backups) {
@@ -49,8 +50,9 @@
       record.primary != message.from || durable_.votedEpoch != record.epoch || !message.state)
     return;
   lastHeartbeatAt_ = std::max(lastHeartbeatAt_, now - timing_.heartbeatInterval);
-  const bool known = durable_.dataEpoch == record.epoch && message.state->sequence <= durable_.state.sequence;
-  if (!known) {
+  const bool isStored =
+      durable_.dataEpoch == record.epoch && message.state->sequence <= durable_.state.sequence;
+  if (!isStored) {
     durable_.state = *message.state;
     durable_.dataEpoch = record.epoch;
     if (!persist()) return;
@@ -66,21 +68,21 @@
   if (message.sequence == durable_.state.sequence) tryCommit(now);
 }
 
-// All backups have the state: once a quorum has accepted the record, what was proposed is committed.
+// Commits the state if all backups have it and a quorum has accepted the record, while the lease lasts.
 void Replica::tryCommit(Millis now) {
-  if (now >= leaseUntil(now)) return;  // after a freeze another may lead
+  if (now >= leaseUntil(now)) return;  // after a freeze another node may be the primary
   std::set<NodeId> accepted{self_};
   for (const auto& [node, peer] : peers_)
     if (peer.acceptedEpoch == durable_.record.epoch) accepted.insert(node);
   if (!durable_.record.isQuorum(accepted)) return;
   if (!areBackupsUpToDate()) return;
-  const bool news = !committed_ || committed_->sequence != durable_.state.sequence;
+  const bool isNewState = !committed_ || committed_->sequence != durable_.state.sequence;
   if (!committed_) host_.log("primary in epoch " + epochText(durable_.record.epoch));
   established_ = true;
   durable_.establishedEpoch = durable_.record.epoch;
-  if (news) committed_ = std::make_shared<ReplicatedState>(durable_.state);
+  if (isNewState) committed_ = std::make_shared<ReplicatedState>(durable_.state);
   proposalPending_ = false;
-  if (news) host_.onCommitted(*committed_);
+  if (isNewState) host_.onCommitted(*committed_);
   if (!primary_ || durable_.record.oldMembers.empty()) return;
   EpochRecord next = durable_.record;
   next.oldMembers.clear();
--- a/src/consensus/replicated_state.hpp
+++ b/src/consensus/replicated_state.hpp
@@ -1,4 +1,4 @@
-// The state that the control plane replicates from its primary to the backups.
+// The state that the primary of the control plane replicates to the backups.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,13 @@
 
 namespace lilacmux {
 
-// The newest configuration, which ones were accepted before it, and who may hold grants of quotas.
+// The newest configuration, the history of accepted changes, and the holders of quota grants.
 struct ReplicatedState {
-  std::uint64_t sequence = 0;  // of changes, over all epochs
+  std::uint64_t sequence = 0;  // number of the newest change, counted across epochs
   std::uint64_t revision = 0;
-  std::shared_ptr<const std::string> body;  // as it was sent
-  AcceptedChanges accepted;                 // the current one included
-  std::set<std::string> grantHolders;       // relays and gatekeepers that may hold grants of quotas
+  std::shared_ptr<const std::string> body;  // the configuration exactly as the operator sent it
+  AcceptedChanges accepted;                 // including the current change
+  std::set<std::string> grantHolders;       // relays and gatekeepers that may hold quota grants
 };
 
 }  // namespace lilacmux
