--- a/tests/consensus/failover_test.cpp
+++ b/tests/consensus/failover_test.cpp
@@ -1,6 +1,6 @@
-// Failovers at the worst moment: in an epoch that is not established yet, in a membership change, after a
-// primary was paused. One member of three is down each time, or one disk is lost, and the core must go on
-// with all that was acknowledged. The search of the model (tests/model) found the traces.
+// Failovers at critical moments: in an epoch that is not established yet, during a membership change, and
+// after a pause of the primary. In each case one of three members is down or has lost its disk, and the core
+// must recover with every acknowledged change. The traces were found by the model search (tests/model).
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,11 +11,11 @@
 namespace lilacmux::test {
 namespace {
 
-constexpr Millis kElection = 8000;
-constexpr Millis kRecovery = 10000;
+constexpr Millis kElectionTimeout = 8000;
+constexpr Millis kRecoveryTimeout = 10000;
 constexpr std::uint64_t kSeeds = 5;
 
-// Three members at rest with one change acknowledged, and an observer where one is asked for.
+// A core of three members with one acknowledged change and, on request, one observer.
 class Core {
  public:
   explicit Core(std::uint64_t seed, std::size_t observers = 0) : cluster(seed, 3, observers) {
@@ -24,7 +24,7 @@
       observer = cluster.names()[3];
       cluster.start(observer, false);
     }
-    cluster.awaitWritablePrimary(kElection);
+    cluster.awaitWritablePrimary(kElectionTimeout);
     cluster.run(3000);
     cluster.propose();
     cluster.run(1500);
@@ -35,7 +35,7 @@
   }
 
   const EpochRecord& record(const NodeId& name) { return cluster.at(name).durable().record; }
-  bool leads(const NodeId& name) { return cluster.at(name).isPrimary(); }
+  bool isPrimary(const NodeId& name) { return cluster.at(name).isPrimary(); }
 
   void killAll() {
     for (const NodeId& name : cluster.names())
@@ -44,16 +44,16 @@
   void start(const std::vector<NodeId>& names) {
     for (const NodeId& name : names) cluster.start(name, false);
   }
-  bool until(const std::function<bool()>& holds, Millis within) {
-    for (const Millis end = cluster.now() + within; cluster.now() < end; cluster.run(5))
-      if (holds()) return true;
-    return holds();
+  bool runUntil(const std::function<bool()>& isReached, Millis timeout) {
+    for (const Millis end = cluster.now() + timeout; cluster.now() < end; cluster.run(5))
+      if (isReached()) return true;
+    return isReached();
   }
 
-  // Somebody leads again, and has all that was acknowledged.
+  // Expects that a primary is elected which has every acknowledged change and accepts another one.
   void expectRecovery(std::uint64_t seed) {
     const std::uint64_t acknowledged = cluster.acknowledged;
-    ASSERT_TRUE(cluster.awaitWritablePrimary(kRecovery)) << "seed " << seed << ": no primary";
+    ASSERT_TRUE(cluster.awaitWritablePrimary(kRecoveryTimeout)) << "seed " << seed << ": no primary";
     EXPECT_GE(cluster.at(*cluster.activePrimary()).committed().revision, acknowledged) << "seed " << seed;
     EXPECT_TRUE(cluster.propose()) << "seed " << seed;
     cluster.run(1000);
@@ -65,17 +65,19 @@
   NodeId primary, backup, witness, observer;
 };
 
-// The winner cannot give its state to its first backup, names the one that has the older state, and is lost.
-TEST(Failover, ARecordIsReplacedBeforeItsEpochWasEstablished) {
+// The new primary cannot replicate its state to its first backup, replaces that backup by the member that has
+// the older state, and fails.
+TEST(Failover, RecoversWhenBackupsChangeBeforeTheEpochIsEstablished) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Core core(seed);
     core.killAll();
     core.start({core.primary, core.witness});
-    ASSERT_TRUE(core.until([&] { return core.leads(core.primary); }, kElection)) << "seed " << seed;
+    ASSERT_TRUE(core.runUntil([&] { return core.isPrimary(core.primary); }, kElectionTimeout))
+        << "seed " << seed;
     const std::uint64_t epoch = core.record(core.primary).epoch;
     core.cluster.blockOneWay(core.witness, core.primary, true);
     core.start({core.backup});
-    ASSERT_TRUE(core.until([&] { return core.record(core.primary).epoch > epoch; }, kElection));
+    ASSERT_TRUE(core.runUntil([&] { return core.record(core.primary).epoch > epoch; }, kElectionTimeout));
     ASSERT_EQ(core.record(core.primary).backups, std::vector<NodeId>{core.backup}) << "seed " << seed;
     core.cluster.kill(core.primary);
     core.cluster.blockOneWay(core.witness, core.primary, false);
@@ -83,16 +85,19 @@
   }
 }
 
-// It wins, is restarted before it has given its state away, wins again with another's vote, and is lost.
-TEST(Failover, AWinnerIsRestartedBeforeItsEpochWasEstablished) {
+// The new primary is restarted before it has replicated its state, wins again with the vote of another
+// member, and fails.
+TEST(Failover, RecoversWhenAWinnerRestartsBeforeItsEpochIsEstablished) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Core core(seed);
     core.killAll();
     core.start({core.primary, core.witness});
-    ASSERT_TRUE(core.until([&] { return core.leads(core.primary); }, kElection)) << "seed " << seed;
+    ASSERT_TRUE(core.runUntil([&] { return core.isPrimary(core.primary); }, kElectionTimeout))
+        << "seed " << seed;
     core.killAll();
     core.start({core.primary, core.backup});
-    ASSERT_TRUE(core.until([&] { return core.leads(core.primary); }, kElection)) << "seed " << seed;
+    ASSERT_TRUE(core.runUntil([&] { return core.isPrimary(core.primary); }, kElectionTimeout))
+        << "seed " << seed;
     core.cluster.kill(core.primary);
     core.cluster.run(20);
     core.start({core.witness});
@@ -100,31 +105,32 @@
   }
 }
 
-// The old primary stands still and is cut off while another leads; the new one's backup loses its disk,
-// listens, and then hears of the old one first.
-TEST(Failover, AnEmptyDiskHearsAPrimaryThatWasPaused) {
+// The old primary is paused and partitioned while another member becomes the primary. The new primary's
+// backup loses its disk, and after its join delay the first heartbeat that it receives is one of the old
+// primary.
+TEST(Failover, MemberWithAnEmptyDiskIsNotMisledByAPausedPrimary) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Core core(seed);
     SimulatedCluster& cluster = core.cluster;
     constexpr Millis kForever = 1e9;
     cluster.isolate(core.primary, true);
     cluster.freeze(core.primary, kForever);
-    ASSERT_TRUE(core.until(
+    ASSERT_TRUE(core.runUntil(
         [&] {
-          const auto serves = cluster.activePrimary();
-          return serves && *serves != core.primary && cluster.at(*serves).canPropose(cluster.now());
+          const auto active = cluster.activePrimary();
+          return active && *active != core.primary && cluster.at(*active).canPropose(cluster.now());
         },
-        kElection));
-    const NodeId next = *cluster.activePrimary();
-    const NodeId other = next == core.backup ? core.witness : core.backup;
+        kElectionTimeout));
+    const NodeId newPrimary = *cluster.activePrimary();
+    const NodeId newBackup = newPrimary == core.backup ? core.witness : core.backup;
     ASSERT_TRUE(cluster.propose());
     cluster.run(100);
     ASSERT_EQ(cluster.acknowledged, 2u) << "seed " << seed;
 
-    cluster.kill(other);
-    cluster.loseDisk(other);
+    cluster.kill(newBackup);
+    cluster.loseDisk(newBackup);
     cluster.run(100);
-    core.start({other});
+    core.start({newBackup});
     cluster.run(2400);
     cluster.isolate(core.primary, false);
     cluster.freeze(core.primary, 5);
@@ -132,13 +138,14 @@
   }
 }
 
-// All are killed as the record that brings the observer in is stored at the primary only; the backup stays
-// away.
-TEST(Failover, OnlyThePrimaryHasTheRecordOfBothMemberLists) {
+// All nodes are killed while only the primary has stored the joint record, which admits the observer; the
+// backup stays down.
+TEST(Failover, RecoversWhenOnlyThePrimaryHasTheJointRecord) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Core core(seed, 1);
     core.cluster.kill(core.witness);
-    ASSERT_TRUE(core.until([&] { return !core.record(core.primary).oldMembers.empty(); }, kElection));
+    ASSERT_TRUE(
+        core.runUntil([&] { return !core.record(core.primary).oldMembers.empty(); }, kElectionTimeout));
     core.cluster.isolate(core.primary, true);
     core.cluster.run(20);
     core.killAll();
@@ -148,17 +155,19 @@
   }
 }
 
-// Only the member that is to leave has taken that record, and its primary is lost.
-TEST(Failover, OnlyTheOldMemberHasTheRecordOfBothMemberLists) {
+// Only the member that is being replaced has accepted the joint record, and the primary fails.
+TEST(Failover, RecoversWhenOnlyTheReplacedMemberHasAcceptedTheJointRecord) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Core core(seed, 1);
     core.cluster.kill(core.witness);
-    ASSERT_TRUE(core.until([&] { return !core.record(core.primary).oldMembers.empty(); }, kElection));
+    ASSERT_TRUE(
+        core.runUntil([&] { return !core.record(core.primary).oldMembers.empty(); }, kElectionTimeout));
     core.cluster.isolate(core.backup, true);
     core.cluster.isolate(core.observer, true);
     core.start({core.witness});
-    ASSERT_TRUE(core.until([&] { return core.record(core.witness).epoch == core.record(core.primary).epoch; },
-                           kElection));
+    ASSERT_TRUE(
+        core.runUntil([&] { return core.record(core.witness).epoch == core.record(core.primary).epoch; },
+                      kElectionTimeout));
     core.cluster.kill(core.primary);
     core.cluster.run(20);
     core.cluster.isolate(core.backup, false);
--- a/tests/consensus/interrupted_election_test.cpp
+++ b/tests/consensus/interrupted_election_test.cpp
@@ -1,5 +1,5 @@
-// Elections that are interrupted before the new primary has given its state to all of its backups. Whoever is
-// lost then must not be the only one that the next election could choose.
+// Elections that are interrupted before the new primary has replicated its state to all backups. A node that
+// fails then must not be the only one that the next election could choose.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,8 +12,8 @@
 namespace lilacmux::test {
 namespace {
 
-constexpr Millis kElection = 20000;
-constexpr Millis kRecovery = 10000;
+constexpr Millis kElectionTimeout = 20000;
+constexpr Millis kRecoveryTimeout = 10000;
 
 class InterruptedElections {
  public:
@@ -27,17 +27,17 @@
     ready_ = ready_ && cluster_.acknowledged == 1;
   }
 
-  // Kills and starts all but the absent ones, again and again, each time in the midst of an election: once a
-  // member other than the new primary has taken its record and `stop` holds. False: this seed does not reach
-  // that.
+  // Restarts all nodes but the absent ones and runs until a member other than the new primary has accepted
+  // the new primary's record and `stop` returns true. Returns the new primary, or nullopt if that does not
+  // happen with this seed within kElectionTimeout.
   using Stop = std::function<bool(SimulatedCluster&, const EpochRecord&)>;
   std::optional<NodeId> interrupt(const Stop& stop) {
     const std::uint64_t before = newest().epoch;
     restartAll();
-    for (Millis end = cluster_.now() + kElection; cluster_.now() < end;) {
+    for (Millis end = cluster_.now() + kElectionTimeout; cluster_.now() < end;) {
       cluster_.run(5);
       const EpochRecord record = newest();
-      if (record.epoch <= before || !taken(record) || !stop(cluster_, record)) continue;
+      if (record.epoch <= before || !isAccepted(record) || !stop(cluster_, record)) continue;
       cluster_.blockOneWay(record.primary, record.backups.back(), false);
       return record.primary;
     }
@@ -50,10 +50,10 @@
       if (!absent.contains(name)) cluster_.start(name, false);
   }
 
-  // A majority is there: it must lead again, with what was acknowledged.
-  void recovers() {
+  // Expects that the remaining majority elects a primary with the acknowledged change.
+  void expectRecovery() {
     restartAll();
-    ASSERT_TRUE(cluster_.awaitWritablePrimary(kRecovery))
+    ASSERT_TRUE(cluster_.awaitWritablePrimary(kRecoveryTimeout))
         << absent.size() << " of " << members_ << " are absent";
     EXPECT_EQ(cluster_.at(*cluster_.activePrimary()).committed().revision, 1u);
     EXPECT_TRUE(cluster_.violations.empty()) << cluster_.violations.front();
@@ -75,7 +75,7 @@
         out = cluster_.at(name).durable().record;
     return out;
   }
-  bool taken(const EpochRecord& record) {
+  bool isAccepted(const EpochRecord& record) {
     return std::any_of(cluster_.names().begin(), cluster_.names().end(), [&](const NodeId& name) {
       return name != record.primary && cluster_.isUp(name) && cluster_.at(name).epoch() == record.epoch;
     });
@@ -93,59 +93,61 @@
       }));
 }
 
-bool beforeAnySync(SimulatedCluster& cluster, const EpochRecord& record) {
+bool beforeAnyBackupHasState(SimulatedCluster& cluster, const EpochRecord& record) {
   return backupsWithState(cluster, record) == 0;
 }
-// The last backup is cut off from the new primary.
-bool betweenSyncs(SimulatedCluster& cluster, const EpochRecord& record) {
+// Blocks messages from the new primary to its last backup, so that only the other backup receives the state.
+bool onceOneBackupHasState(SimulatedCluster& cluster, const EpochRecord& record) {
   cluster.blockOneWay(record.primary, record.backups.back(), true);
   return backupsWithState(cluster, record) == 1;
 }
 
-// Plays both losses on many seeds; how many reached them.
-int loseTwoPrimaries(const InterruptedElections::Stop& first) {
+// Loses two new primaries in a row with many seeds. Returns the number of seeds in which both were lost.
+int loseTwoPrimaries(const InterruptedElections::Stop& firstStop) {
   int reached = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    InterruptedElections play(seed, 5);
-    if (!play.ready()) continue;
+    InterruptedElections run(seed, 5);
+    if (!run.ready()) continue;
     bool lostBoth = true;
-    for (const auto& stop : {first, InterruptedElections::Stop(beforeAnySync)}) {
-      const auto primary = play.interrupt(stop);
+    for (const auto& stop : {firstStop, InterruptedElections::Stop(beforeAnyBackupHasState)}) {
+      const auto primary = run.interrupt(stop);
       lostBoth = lostBoth && primary;
-      if (primary) play.absent.insert(*primary);
+      if (primary) run.absent.insert(*primary);
     }
     if (!lostBoth) continue;
     ++reached;
-    play.recovers();
+    run.expectRecovery();
     if (testing::Test::HasFailure()) ADD_FAILURE() << "seed " << seed;
   }
   return reached;
 }
 
-TEST(InterruptedElections, TwoNewPrimariesInARowAreLost) { EXPECT_GT(loseTwoPrimaries(beforeAnySync), 20); }
+TEST(InterruptedElections, RecoverAfterTwoNewPrimariesInARowAreLost) {
+  EXPECT_GT(loseTwoPrimaries(beforeAnyBackupHasState), 20);
+}
 
-// The second was given the state of the first one's epoch; the other backup of that epoch was not.
-TEST(InterruptedElections, APrimaryAndTheOnlyBackupThatItGaveItsStateAreLost) {
-  EXPECT_GT(loseTwoPrimaries(betweenSyncs), 5);
+// The second primary has the state of the first one's epoch; the other backup of that epoch does not.
+TEST(InterruptedElections, RecoverAfterAPrimaryAndTheOnlyBackupWithItsStateAreLost) {
+  EXPECT_GT(loseTwoPrimaries(onceOneBackupHasState), 5);
 }
 
-// The second time it is chosen for its state of the first time, which nobody else has.
-TEST(InterruptedElections, ThePrimaryThatWonTwiceInARowIsLost) {
+// The node wins the second election because of the state of its first epoch, which no other node has.
+TEST(InterruptedElections, RecoverAfterAPrimaryThatWonTwiceInARowIsLost) {
   int reached = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    InterruptedElections play(seed, seed % 2 == 0 ? 3 : 5);
-    if (!play.ready()) continue;
-    const auto first = play.interrupt(beforeAnySync);
-    const auto second = play.interrupt(beforeAnySync);
+    InterruptedElections run(seed, seed % 2 == 0 ? 3 : 5);
+    if (!run.ready()) continue;
+    const auto first = run.interrupt(beforeAnyBackupHasState);
+    const auto second = run.interrupt(beforeAnyBackupHasState);
     if (!first || second != first) continue;
-    play.absent.insert(*first);
+    run.absent.insert(*first);
     ++reached;
-    ASSERT_NO_FATAL_FAILURE(play.recovers()) << "seed " << seed;
+    ASSERT_NO_FATAL_FAILURE(run.expectRecovery()) << "seed " << seed;
   }
   EXPECT_GT(reached, 5);
 }
 
-// Collects what a replica says; its disk takes everything.
+// Records the messages that a replica sends; all writes to disk succeed.
 struct RecordingHost : ReplicaHost {
   void send(const NodeId& to, const MemberMessage& message) override { sent.emplace_back(to, message); }
   bool store(const DurableState&) override { return true; }
@@ -155,11 +157,12 @@
   std::vector<std::pair<NodeId, MemberMessage>> sent;
 };
 
-// A heartbeat that was held up in a cut connection says nothing of who leads now, however long the member
-// with the empty disk has listened. One that answers an announcement made after that does.
-TEST(EmptyDisk, AcceptsNoRecordFromBeforeItHadListened) {
+// A heartbeat that was delayed in a broken connection may come from a former primary, however long the member
+// with the empty disk has waited. Only a heartbeat that reports an announcement made after the join delay
+// comes from the current primary.
+TEST(EmptyDisk, AcceptsNoRecordSentBeforeItsJoinDelayPassed) {
   const Replica::Timing timing;
-  const Millis start = 10000, joins = start + timing.emptyDiskJoinDelay;
+  const Millis start = 10000, joinsAt = start + timing.emptyDiskJoinDelay;
   RecordingHost host;
   Replica empty("a:1", {"b:1"}, false, std::nullopt, timing, start, host);
   MemberMessage heartbeat;
@@ -168,27 +171,29 @@
   heartbeat.epoch = heartbeat.record.epoch = 1 << kStepBits;
   heartbeat.record.members = {"a:1", "b:1", "c:1"};
   heartbeat.lastAnnouncementSentAt = start + 100;
-  empty.receive(joins + 50, heartbeat);
-  EXPECT_EQ(empty.epoch(), 0u) << "sent before it had listened";
+  empty.receive(joinsAt + 50, heartbeat);
+  EXPECT_EQ(empty.epoch(), 0u)
+      << "the heartbeat answers an announcement from before the join delay had passed";
   ASSERT_FALSE(host.sent.empty());
   EXPECT_EQ(host.sent.back().first, heartbeat.from);
   EXPECT_EQ(host.sent.back().second.kind, MemberMessage::Kind::announce);
-  EXPECT_EQ(host.sent.back().second.sentAt, joins + 50) << "it announces itself at once";
+  EXPECT_EQ(host.sent.back().second.sentAt, joinsAt + 50) << "the member announces itself at once";
   heartbeat.lastAnnouncementSentAt = 1e9;
-  empty.receive(joins + 50, heartbeat);
-  EXPECT_EQ(empty.epoch(), 0u) << "the clock of another life";
-  heartbeat.lastAnnouncementSentAt = joins + 50;
-  empty.receive(joins + 60, heartbeat);
+  empty.receive(joinsAt + 50, heartbeat);
+  EXPECT_EQ(empty.epoch(), 0u)
+      << "the reported announcement lies in the future: its time is of a clock before a restart";
+  heartbeat.lastAnnouncementSentAt = joinsAt + 50;
+  empty.receive(joinsAt + 60, heartbeat);
   EXPECT_EQ(empty.epoch(), heartbeat.epoch);
 }
 
-// A primary that was cut off with one witness for less than its lease takes all others for silent. They are
-// not: it was. With that witness as its only backup, the two of them would be the only ones to have the next
-// change.
-TEST(Backups, StayAsManyAsTheLossesWhereThePrimaryWasPartitioned) {
+// A primary that was partitioned together with one witness for less than its lease considers all other
+// members unresponsive, although it was partitioned itself. If it made that witness its only backup, no other
+// node would have the next change.
+TEST(Backups, AreNotReducedAfterThePrimaryWasPartitioned) {
   Replica::Timing timing;
   timing.toleratedLosses = 2;
-  const Millis cutFor = timing.backupTimeout + 60;
+  const Millis partitionDuration = timing.backupTimeout + 60;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedCluster cluster(seed, 5, 0, timing);
     cluster.startAll();
@@ -199,16 +204,16 @@
     const auto witness =
         std::find_if(cluster.names().begin(), cluster.names().end(),
                      [&](const NodeId& name) { return name != primary && !before.isBackup(name); });
-    const auto cutOff = [&](bool cut) {
+    const auto setPartitioned = [&](bool blocked) {
       for (const NodeId& name : cluster.names()) {
         if (name == primary || name == *witness) continue;
-        cluster.blockOneWay(primary, name, cut);
-        cluster.blockOneWay(name, primary, cut);
+        cluster.blockOneWay(primary, name, blocked);
+        cluster.blockOneWay(name, primary, blocked);
       }
     };
-    cutOff(true);
-    cluster.run(cutFor);
-    cutOff(false);
+    setPartitioned(true);
+    cluster.run(partitionDuration);
+    setPartitioned(false);
     for (Millis end = cluster.now() + 2000; cluster.now() < end;) {
       cluster.run(5);
       for (const NodeId& name : cluster.names())
@@ -217,8 +222,9 @@
   }
 }
 
-// Versions that know nothing of uncertain epochs must not read a weaker demand out of a record than there is.
-TEST(InterruptedElections, AnOlderVersionReadsTheStricterRequirement) {
+// Versions that do not know undecided epochs must not read a weaker requirement on a new primary's state from
+// a record.
+TEST(InterruptedElections, OlderVersionReadsTheConservativePreviousEpoch) {
   MemberMessage message;
   message.kind = MemberMessage::Kind::heartbeat;
   message.record.epoch = 9;
--- a/tests/consensus/replica_test.cpp
+++ b/tests/consensus/replica_test.cpp
@@ -7,9 +7,9 @@
 namespace lilacmux::test {
 namespace {
 
-constexpr Millis kTakeover = 4000;
+constexpr Millis kFailoverTimeout = 4000;
 
-TEST(Replica, AFreshCoreLeadsSoonWhateverOrderItsMembersStartIn) {
+TEST(Replica, NewCoreElectsAPrimaryForAnyStartOrder) {
   for (std::uint64_t seed = 0; seed < 100; ++seed) {
     SimulatedCluster cluster(seed);
     std::vector<NodeId> order = cluster.names();
@@ -27,13 +27,13 @@
   }
 }
 
-// Two members stood for election at once and promised themselves the same epoch: the one that lost must come
-// back to the one that won, not outbid it for ever.
-TEST(Replica, AMemberThatVotedForItselfInTheSameEpochJoinsTheWinner) {
+// Two members started elections at once and voted for themselves in the same term: the loser must follow the
+// winner instead of starting elections in newer terms for ever.
+TEST(Replica, LosingCandidateOfTheSameTermFollowsTheWinner) {
   SimulatedCluster cluster(1);
   const auto& names = cluster.names();
   cluster.start(names[0], true);
-  cluster.run(700);  // stands alone
+  cluster.run(700);  // starts an election alone
   cluster.start(names[1], true);
   cluster.start(names[2], true);
   ASSERT_TRUE(cluster.awaitWritablePrimary(3000));
@@ -41,10 +41,11 @@
   cluster.run(10000);
   EXPECT_EQ(cluster.activePrimary(), first) << "the primary changed without cause";
   for (const NodeId& name : names)
-    EXPECT_EQ(cluster.at(name).durable().record.epoch, cluster.at(*first).epoch()) << name << " is left out";
+    EXPECT_EQ(cluster.at(name).durable().record.epoch, cluster.at(*first).epoch())
+        << name << " has not accepted the record";
 }
 
-TEST(Replica, ACoreOfOneLeadsAndKeepsWhatItAcknowledged) {
+TEST(Replica, SingleMemberCoreRetainsAcknowledgedChanges) {
   SimulatedCluster cluster(2, 1);
   cluster.startAll();
   ASSERT_TRUE(cluster.awaitWritablePrimary(3000));
@@ -58,7 +59,7 @@
   EXPECT_TRUE(cluster.violations.empty());
 }
 
-TEST(Replica, TheBackupTakesOverWithAllThatWasAcknowledged) {
+TEST(Replica, BackupTakesOverWithAllAcknowledgedChanges) {
   for (std::uint64_t seed = 0; seed < 40; ++seed) {
     SimulatedCluster cluster(seed);
     cluster.startAll();
@@ -68,30 +69,30 @@
       cluster.run(100);
     }
     ASSERT_EQ(cluster.acknowledged, 3u);
-    const NodeId dead = *cluster.activePrimary();
-    cluster.kill(dead);
-    ASSERT_TRUE(cluster.awaitWritablePrimary(kTakeover)) << "seed " << seed;
+    const NodeId killed = *cluster.activePrimary();
+    cluster.kill(killed);
+    ASSERT_TRUE(cluster.awaitWritablePrimary(kFailoverTimeout)) << "seed " << seed;
     EXPECT_EQ(cluster.at(*cluster.activePrimary()).committed().revision, 3u);
-    cluster.start(dead, false);
+    cluster.start(killed, false);
     cluster.run(4000);
     ASSERT_TRUE(cluster.activePrimary());
-    EXPECT_EQ(cluster.at(dead).knownPrimary(), *cluster.activePrimary());
+    EXPECT_EQ(cluster.at(killed).knownPrimary(), *cluster.activePrimary());
   }
 }
 
-TEST(Replica, APrimaryThatShutsDownGracefullyIsFollowedAtOnce) {
+TEST(Replica, GracefulShutdownOfThePrimaryTriggersAnElectionAtOnce) {
   SimulatedCluster cluster(3);
   cluster.startAll();
   ASSERT_TRUE(cluster.awaitWritablePrimary(3000));
   ASSERT_TRUE(cluster.propose());
   cluster.run(100);
-  const NodeId leaves = *cluster.activePrimary();
-  cluster.at(leaves).resign();
+  const NodeId resigned = *cluster.activePrimary();
+  cluster.at(resigned).resign();
   EXPECT_TRUE(cluster.awaitWritablePrimary(800));
-  EXPECT_NE(cluster.activePrimary(), leaves);
+  EXPECT_NE(cluster.activePrimary(), resigned);
 }
 
-TEST(Replica, AnUnresponsiveBackupIsReplacedAndItsReturnLosesNothing) {
+TEST(Replica, UnresponsiveBackupIsReplacedAndReturnsWithoutLoss) {
   SimulatedCluster cluster(4);
   cluster.startAll();
   ASSERT_TRUE(cluster.awaitWritablePrimary(3000));
@@ -99,16 +100,16 @@
                backup = cluster.at(primary).durable().record.backups.front();
   cluster.kill(backup);
   ASSERT_TRUE(cluster.propose());
-  cluster.run(2000);  // seen, replaced, given the state
+  cluster.run(2000);  // the failure is detected, and the new backup receives the state
   EXPECT_EQ(cluster.acknowledged, 1u);
   cluster.start(backup, false);
   cluster.run(3000);
   cluster.kill(primary);
-  ASSERT_TRUE(cluster.awaitWritablePrimary(kTakeover));
+  ASSERT_TRUE(cluster.awaitWritablePrimary(kFailoverTimeout));
   EXPECT_EQ(cluster.at(*cluster.activePrimary()).committed().revision, 1u);
 }
 
-TEST(Replica, APartitionedPrimaryServesNoLongerThanItsLease) {
+TEST(Replica, PartitionedPrimaryLosesItsLease) {
   SimulatedCluster cluster(5);
   cluster.startAll();
   ASSERT_TRUE(cluster.awaitWritablePrimary(3000));
@@ -116,34 +117,34 @@
   cluster.isolate(old, true);
   cluster.run(Replica::Timing{}.leaseDuration);
   EXPECT_FALSE(cluster.at(old).hasLease(cluster.now()));
-  ASSERT_TRUE(cluster.awaitWritablePrimary(kTakeover));
+  ASSERT_TRUE(cluster.awaitWritablePrimary(kFailoverTimeout));
   EXPECT_NE(*cluster.activePrimary(), old);
   cluster.isolate(old, false);
   cluster.run(4000);
   EXPECT_EQ(cluster.at(old).knownPrimary(), *cluster.activePrimary());
 }
 
-TEST(Replica, AMemberThatLostItsDiskComesBackAndTheCoreToleratesTheNextLoss) {
+TEST(Replica, MemberRejoinsAfterDiskLossAndTheCoreToleratesTheNextLoss) {
   for (std::uint64_t seed = 0; seed < 40; ++seed) {
     SimulatedCluster cluster(seed);
     cluster.startAll();
     ASSERT_TRUE(cluster.awaitWritablePrimary(3000));
     ASSERT_TRUE(cluster.propose());
     cluster.run(200);
-    const NodeId wiped = cluster.names()[seed % 3];
-    cluster.kill(wiped);
-    cluster.loseDisk(wiped);
+    const NodeId diskless = cluster.names()[seed % 3];
+    cluster.kill(diskless);
+    cluster.loseDisk(diskless);
     cluster.run(1000 * cluster.chance());
-    cluster.start(wiped, false);
+    cluster.start(diskless, false);
     cluster.run(6000);
     ASSERT_TRUE(cluster.activePrimary()) << "seed " << seed;
     cluster.kill(*cluster.activePrimary());
-    ASSERT_TRUE(cluster.awaitWritablePrimary(2 * kTakeover)) << "seed " << seed;
+    ASSERT_TRUE(cluster.awaitWritablePrimary(2 * kFailoverTimeout)) << "seed " << seed;
     EXPECT_EQ(cluster.at(*cluster.activePrimary()).committed().revision, 1u);
   }
 }
 
-TEST(Replica, AllKilledAtOnceComeBackWithWhatWasAcknowledged) {
+TEST(Replica, AcknowledgedChangesSurviveARestartOfAllMembers) {
   SimulatedCluster cluster(6);
   cluster.startAll();
   ASSERT_TRUE(cluster.awaitWritablePrimary(3000));
@@ -152,21 +153,20 @@
   for (const NodeId& name : cluster.names()) cluster.kill(name);
   cluster.run(500);
   for (const NodeId& name : cluster.names()) cluster.start(name, false);
-  ASSERT_TRUE(cluster.awaitWritablePrimary(kTakeover));
+  ASSERT_TRUE(cluster.awaitWritablePrimary(kFailoverTimeout));
   EXPECT_EQ(cluster.at(*cluster.activePrimary()).committed().revision, 1u);
 }
 
-// The core outlives all the machines it began on, one after the other, each followed by an empty one
-// elsewhere.
-TEST(Replica, MachinesReplacedOneByOneLeaveAMajorityAndWhatWasAcknowledged) {
+// Each of the first machines is lost in turn and replaced by an empty one at another address.
+TEST(Replica, AcknowledgedChangesSurviveTheReplacementOfAllMachines) {
   for (std::uint64_t seed = 0; seed < 40; ++seed) {
     SimulatedCluster cluster(seed, 3, 4);
     cluster.setMessageLoss(seed % 2 == 0 ? 0.05 : 0);
     cluster.startAll();
     ASSERT_TRUE(cluster.awaitWritablePrimary(3000));
-    for (std::size_t round = 0; round < 4; ++round) {
+    for (std::size_t iteration = 0; iteration < 4; ++iteration) {
       const std::uint64_t before = cluster.commits;
-      for (int tries = 0; tries < 20 && cluster.commits == before; ++tries)
+      for (int attempt = 0; attempt < 20 && cluster.commits == before; ++attempt)
         cluster.propose(), cluster.run(500);
       ASSERT_GT(cluster.commits, before) << "seed " << seed;
       const auto primary = cluster.activePrimary();
@@ -177,12 +177,14 @@
       cluster.loseDisk(lost);
       cluster.run(2000 * cluster.chance());
       cluster.setSeeds({*primary == lost ? members[lost == members[0]] : *primary});  // a seed that is up
-      cluster.start(cluster.names()[3 + round], false);
+      cluster.start(cluster.names()[3 + iteration], false);
       cluster.run(9000);
-      ASSERT_TRUE(cluster.awaitWritablePrimary(kTakeover)) << "seed " << seed << " round " << round;
-      const auto now = cluster.at(*cluster.activePrimary()).members();
-      EXPECT_EQ(std::count(now.begin(), now.end(), lost), 0) << "seed " << seed << " round " << round;
-      EXPECT_EQ(now.size(), 3u);
+      ASSERT_TRUE(cluster.awaitWritablePrimary(kFailoverTimeout))
+          << "seed " << seed << " iteration " << iteration;
+      const auto newMembers = cluster.at(*cluster.activePrimary()).members();
+      EXPECT_EQ(std::count(newMembers.begin(), newMembers.end(), lost), 0)
+          << "seed " << seed << " iteration " << iteration;
+      EXPECT_EQ(newMembers.size(), 3u);
     }
     EXPECT_GE(cluster.at(*cluster.activePrimary()).committed().revision, cluster.acknowledged);
     EXPECT_GE(cluster.acknowledged, 4u);
@@ -190,7 +192,7 @@
   }
 }
 
-TEST(Replica, AMemberThatWasReplacedReturnsAndFillsTheNextVacancy) {
+TEST(Replica, ReplacedMemberReturnsAsObserverAndReplacesTheNextUnresponsiveMember) {
   SimulatedCluster cluster(11, 3, 1);
   cluster.startAll();
   cluster.start(cluster.names()[3], false);
@@ -202,21 +204,21 @@
   EXPECT_FALSE(cluster.at(*cluster.activePrimary()).durable().record.hasMember(first));
   cluster.start(first, false);
   cluster.run(4000);
-  EXPECT_FALSE(cluster.at(first).isMember()) << "it must learn that it is none any more";
+  EXPECT_FALSE(cluster.at(first).isMember()) << "it must learn that it is no longer a member";
   EXPECT_EQ(cluster.at(first).knownPrimary(), *cluster.activePrimary());
   ASSERT_TRUE(cluster.propose());
   cluster.run(300);
   const NodeId second = *cluster.activePrimary();
   cluster.kill(second);
   cluster.run(9000);
-  ASSERT_TRUE(cluster.awaitWritablePrimary(kTakeover));
+  ASSERT_TRUE(cluster.awaitWritablePrimary(kFailoverTimeout));
   EXPECT_TRUE(cluster.at(*cluster.activePrimary()).durable().record.hasMember(first));
   EXPECT_EQ(cluster.at(*cluster.activePrimary()).committed().revision, 1u);
 }
 
-// An empty disk has forgotten what it promised and took: alone with a member that was away for the last
-// change it must not make up a majority.
-TEST(Replica, AnEmptyMemberDoesNotVoteBeforeItHasTakenARecord) {
+// A member with an empty disk has lost its vote and its record. Together with a member that was down during
+// the last change it must not form a quorum.
+TEST(Replica, MemberWithAnEmptyDiskDoesNotVoteBeforeItHasAcceptedARecord) {
   SimulatedCluster cluster(12);
   cluster.startAll();
   ASSERT_TRUE(cluster.awaitWritablePrimary(3000));
@@ -237,13 +239,13 @@
   cluster.run(8000);
   EXPECT_FALSE(cluster.activePrimary());
   cluster.start(primary, false);
-  ASSERT_TRUE(cluster.awaitWritablePrimary(kTakeover));
+  ASSERT_TRUE(cluster.awaitWritablePrimary(kFailoverTimeout));
   EXPECT_EQ(cluster.at(*cluster.activePrimary()).committed().revision, 1u);
 }
 
-// Its loyalty keeps a member from helping others, not from helping its own primary back.
-TEST(Replica, APrimaryThatWasOnlyRestartedLeadsAgainAtOnce) {
-  for (const bool all : {false, true}) {
+// A lease forbids a member to vote for other candidates, but not for the primary that holds the lease.
+TEST(Replica, RestartedPrimaryIsReelectedAtOnce) {
+  for (const bool restartAll : {false, true}) {
     SimulatedCluster cluster(13);
     cluster.startAll();
     ASSERT_TRUE(cluster.awaitWritablePrimary(3000));
@@ -251,20 +253,19 @@
     cluster.run(500);
     const NodeId primary = *cluster.activePrimary();
     for (const NodeId& name : cluster.names())
-      if (all || name == primary) cluster.kill(name);
+      if (restartAll || name == primary) cluster.kill(name);
     cluster.run(200);
     for (const NodeId& name : cluster.names())
       if (!cluster.isUp(name)) cluster.start(name, false);
-    ASSERT_TRUE(cluster.awaitWritablePrimary(500)) << (all ? "all" : "one");
+    ASSERT_TRUE(cluster.awaitWritablePrimary(500)) << (restartAll ? "all restarted" : "primary restarted");
     EXPECT_EQ(*cluster.activePrimary(), primary);
     EXPECT_EQ(cluster.at(primary).committed().revision, 1u);
   }
 }
 
-// One loss at a time, at any moment, with lossy links and changes all along: never two that serve, never old
-// state, and rest within seconds once the trouble is over.
-// Told of three, a core that is to bear two losses takes two more in, and keeps each change on three disks.
-TEST(Replica, GrowsToFiveMembersAndToleratesTwoLostDisksWhileTheOthersLosePower) {
+// A core that starts with three members and must tolerate two losses admits two more members and stores each
+// change on three disks.
+TEST(Replica, GrowsToFiveMembersAndToleratesTwoLostDisksWhenAllLosePower) {
   Replica::Timing timing;
   timing.toleratedLosses = 2;
   for (std::uint64_t seed = 0; seed < 12; ++seed) {
@@ -291,8 +292,7 @@
   }
 }
 
-// Two members gone, the three that are left go on.
-TEST(Replica, ACoreOfFiveGoesOnWithTwoGone) {
+TEST(Replica, FiveMemberCoreCommitsChangesWithTwoMembersDown) {
   Replica::Timing timing;
   timing.toleratedLosses = 2;
   SimulatedCluster cluster(5, 5, 0, timing);
@@ -313,40 +313,43 @@
   EXPECT_TRUE(cluster.violations.empty());
 }
 
+// One member at a time is killed or isolated at a random moment, with lossy links and continuous changes.
+// There must never be two active primaries or outdated state, and a primary must be elected within seconds
+// after each fault.
 TEST(Replica, ToleratesOneLossAtATimeAtAnyMoment) {
   for (std::uint64_t seed = 0; seed < 60; ++seed) {
     SimulatedCluster cluster(seed);
     cluster.startAll();
     cluster.setMessageLoss(seed % 3 == 0 ? 0.05 : 0);
-    for (int round = 0; round < 8; ++round) {
+    for (int iteration = 0; iteration < 8; ++iteration) {
       const NodeId victim = cluster.names()[static_cast<std::size_t>(3 * cluster.chance())];
-      const bool cutOnly = cluster.chance() < 0.4;
-      cutOnly ? cluster.isolate(victim, true) : cluster.kill(victim);
+      const bool isolateOnly = cluster.chance() < 0.4;
+      isolateOnly ? cluster.isolate(victim, true) : cluster.kill(victim);
       for (int i = 0; i < 12; ++i) cluster.propose(), cluster.run(300 * cluster.chance());
-      cutOnly ? cluster.isolate(victim, false) : cluster.start(victim, false);
+      isolateOnly ? cluster.isolate(victim, false) : cluster.start(victim, false);
       for (int i = 0; i < 6; ++i) cluster.propose(), cluster.run(500);
-      ASSERT_TRUE(cluster.awaitWritablePrimary(6000)) << "seed " << seed << " round " << round;
+      ASSERT_TRUE(cluster.awaitWritablePrimary(6000)) << "seed " << seed << " iteration " << iteration;
     }
     EXPECT_GT(cluster.commits, 8u);
     if (testing::Test::HasFailure() || !cluster.violations.empty()) FAIL() << "seed " << seed;
   }
 }
 
-// Runs until one comes to this step, which takes place, and kills all at it. Gives the primary of the newest
-// record, if the step came in time.
-std::optional<NodeId> killAllAt(SimulatedCluster& cluster, ProtocolStep moment) {
-  bool came = false;
-  cluster.onProtocolStep = [&](ProtocolStep now, const NodeId&) {
-    if (came || now != moment) return StepOutcome::continues;
-    came = true;
+// Runs until a node reaches `step`, lets it complete the step, and kills all nodes. Returns the primary of
+// the newest record, or nullopt if no node reaches the step within 5 s.
+std::optional<NodeId> killAllAt(SimulatedCluster& cluster, ProtocolStep step) {
+  bool isReached = false;
+  cluster.onProtocolStep = [&](ProtocolStep current, const NodeId&) {
+    if (isReached || current != step) return StepOutcome::continues;
+    isReached = true;
     cluster.after(0, [&cluster] { cluster.interrupt(); });
     return StepOutcome::crashesAfter;
   };
   cluster.run(5000);
   cluster.onProtocolStep = nullptr;
-  if (!came) return std::nullopt;
+  if (!isReached) return std::nullopt;
   for (const NodeId& name : cluster.names()) cluster.kill(name);
-  cluster.run(20);  // what was on its way reaches nobody
+  cluster.run(20);  // messages in flight are lost
   EpochRecord newest;
   for (const NodeId& name : cluster.names())
     if (cluster.disk(name) && cluster.disk(name)->record.epoch > newest.epoch)
@@ -354,7 +357,7 @@
   return newest.primary;
 }
 
-// A core of five at rest, with a change acknowledged, that can do without two.
+// A core of five members that tolerates two losses, with one acknowledged change; all members are down.
 class InterruptedElections : public testing::TestWithParam<std::uint64_t> {
  protected:
   void SetUp() override {
@@ -373,67 +376,69 @@
   void start(const std::vector<NodeId>& names) {
     for (const NodeId& name : names) cluster.start(name, false);
   }
-  void expectNothingLost() {
+  void expectRecovery() {
     ASSERT_TRUE(cluster.awaitWritablePrimary(10000)) << "no primary";
     EXPECT_EQ(cluster.at(*cluster.activePrimary()).committed().revision, 1u);
     EXPECT_TRUE(cluster.violations.empty());
   }
-  static Replica::Timing two() {
+  static Replica::Timing timingForTwoLosses() {
     Replica::Timing out;
     out.toleratedLosses = 2;
     return out;
   }
 
-  SimulatedCluster cluster{GetParam(), 5, 0, two()};
+  SimulatedCluster cluster{GetParam(), 5, 0, timingForTwoLosses()};
   NodeId first;
   std::vector<NodeId> others;
 };
 
-TEST_P(InterruptedElections, TwoWinnersThatStayAwayLeaveAPrimaryPossible) {
+TEST_P(InterruptedElections, RecoverWithoutTheLastTwoWinners) {
   start(cluster.names());
   const auto second = killAllAt(cluster, ProtocolStep::acceptsRecord);
   ASSERT_TRUE(second);
-  std::vector<NodeId> left = cluster.names();
-  std::erase(left, *second);
-  start(left);
+  std::vector<NodeId> remaining = cluster.names();
+  std::erase(remaining, *second);
+  start(remaining);
   const auto third = killAllAt(cluster, ProtocolStep::acceptsRecord);
   ASSERT_TRUE(third);
   ASSERT_NE(*third, *second);
-  std::erase(left, *third);
-  start(left);
-  expectNothingLost();
+  std::erase(remaining, *third);
+  start(remaining);
+  expectRecovery();
 }
 
-// Its own record, which no backup was given the state under, must not be asked for once it is away.
-TEST_P(InterruptedElections, AWinnerTwiceOverMayStayAway) {
+// No backup has received the state under the last record of this winner, so an election without the winner
+// must not require the state of that record.
+TEST_P(InterruptedElections, RecoverWithoutAWinnerOfTwoElections) {
   start({first, others[0], others[1]});
   ASSERT_EQ(killAllAt(cluster, ProtocolStep::opensEpoch), first);
   start({first, others[0], others[1]});
   ASSERT_EQ(killAllAt(cluster, ProtocolStep::acceptsRecord), first);
   start({others[0], others[1], others[2]});
-  expectNothingLost();
+  expectRecovery();
 }
 
-// Who can tell that nothing counted under the record before the newest were not there when that one was made.
-TEST_P(InterruptedElections, TheBackupsOfThePreviousRecordShowThatNothingWasCommittedInIt) {
+// The members that can report that nothing was committed in the epoch before the newest were down when the
+// newest record was made.
+TEST_P(InterruptedElections, RecoverOnceBackupsReportThatNothingWasCommittedInThePreviousEpoch) {
   start({first, others[0], others[1]});
   ASSERT_EQ(killAllAt(cluster, ProtocolStep::opensEpoch), first);
   start({first, others[2], others[3]});
   ASSERT_EQ(killAllAt(cluster, ProtocolStep::acceptsRecord), first);
   start(others);
-  expectNothingLost();
+  expectRecovery();
 }
 
 INSTANTIATE_TEST_SUITE_P(Replica, InterruptedElections, testing::Range<std::uint64_t>(0, 20));
 
-// The newcomer does not know yet that it is a member; its vote is needed all the same.
-TEST(Replica, AnInterruptedMembershipChangeLeavesAPrimaryPossible) {
+// The joining member does not know yet that it is a member, but its vote is needed.
+TEST(Replica, RecoversFromAnInterruptedMembershipChange) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     SimulatedCluster cluster(seed, 3, 1);
     cluster.startAll();
     cluster.start(cluster.names()[3], false);
     ASSERT_TRUE(cluster.awaitWritablePrimary(3000));
-    cluster.run(3000);  // the observer has its record
+    cluster.run(3000);  // the observer accepts the record
     ASSERT_TRUE(cluster.propose());
     cluster.run(500);
     const NodeId primary = *cluster.activePrimary();
@@ -450,20 +455,20 @@
   }
 }
 
-// A fixed set of storms; `lilacmux experiment core` plays on for as long as it is told. tests/mutants/ shows
-// that storms find each of the faults that they once found.
+// Runs a fixed set of fault schedules; `lilacmux experiment core` runs more of them for a given time.
+// tests/mutants/ checks that fault schedules still detect each fault that they once found.
 TEST(Replica, ToleratesAFixedSetOfFaultSchedules) {
   std::vector<std::uint64_t> seeds{4910,    7960,    14886,
-                                   16816,  // stood still before elections were mended
+                                   16816,  // no progress before elections were repaired
                                    6004691, 6022942, 6023827};
   for (std::uint64_t seed = 0; seed < 1000; ++seed) seeds.push_back(seed);
   for (const std::uint64_t seed : seeds) {
     const FaultSchedule schedule = drawFaultSchedule(seed);
     const auto failures = runFaultSchedule(schedule).failures;
     if (failures.empty()) continue;
-    std::string needs;
-    for (const Fault& fault : shrink(schedule).faults) needs += "\n  " + describe(fault);
-    FAIL() << "seed " << seed << ": " << failures.front() << needs;
+    std::string minimalFaults;
+    for (const Fault& fault : shrink(schedule).faults) minimalFaults += "\n  " + describe(fault);
+    FAIL() << "seed " << seed << ": " << failures.front() << minimalFaults;
   }
 }
 
--- a/tests/consensus/state_store_test.cpp
+++ b/tests/consensus/state_store_test.cpp
@@ -1,4 +1,4 @@
-// The state store after power loss, on a full disk and after damage.
+// The state store after a power loss, on a full disk and after corruption.
 #include "consensus/state_store.hpp"
 
 #include <gtest/gtest.h>
@@ -19,8 +19,9 @@
 
  protected:
   Disk disk() { return {folder, nullptr, nullptr}; }
-  Disk disk(UnreliableDisk& weak) {
-    return {folder, &weak, [&weak](const std::filesystem::path&) { return weak.syncFolder(); }};
+  Disk disk(UnreliableDisk& unreliable) {
+    return {folder, &unreliable,
+            [&unreliable](const std::filesystem::path&) { return unreliable.syncFolder(); }};
   }
   static DurableState sample(std::uint64_t number, std::size_t bytes = 2) {
     DurableState out;
@@ -38,53 +39,53 @@
 
   const std::filesystem::path folder =
       std::filesystem::temp_directory_path() / ("lilacmux-store-" + std::to_string(::getpid())) / "control";
-  std::vector<std::string> said;
-  const StateStore::Log log = [this](const std::string& line) { said.push_back(line); };
+  std::vector<std::string> logLines;
+  const StateStore::Log log = [this](const std::string& line) { logLines.push_back(line); };
 };
 
-TEST_F(StateStoreTest, GivesBackWhatWasWritten) {
-  const DurableState kept = sample(4);
+TEST_F(StateStoreTest, ReadsTheStateThatWasWritten) {
+  const DurableState durable = sample(4);
   {
     StateStore store(disk(), log);
     EXPECT_FALSE(store.read());
-    EXPECT_TRUE(store.write(kept));
+    EXPECT_TRUE(store.write(durable));
   }
   StateStore store(disk(), log);
   const auto read = store.read();
   ASSERT_TRUE(read);
-  EXPECT_EQ(read->record.members, kept.record.members);
-  EXPECT_EQ(read->record.oldMembers, kept.record.oldMembers);
-  EXPECT_EQ(read->record.previous, kept.record.previous);
-  EXPECT_EQ(read->record.undecided, kept.record.undecided);
+  EXPECT_EQ(read->record.members, durable.record.members);
+  EXPECT_EQ(read->record.oldMembers, durable.record.oldMembers);
+  EXPECT_EQ(read->record.previous, durable.record.previous);
+  EXPECT_EQ(read->record.undecided, durable.record.undecided);
   EXPECT_EQ(read->votedEpoch, 4u);
   EXPECT_EQ(read->record.epoch, 4u);
-  EXPECT_EQ(*read->state.body, *kept.state.body);
-  EXPECT_EQ(read->state.accepted, kept.state.accepted);
-  EXPECT_EQ(read->state.grantHolders, kept.state.grantHolders);
-  EXPECT_TRUE(said.empty());
+  EXPECT_EQ(*read->state.body, *durable.state.body);
+  EXPECT_EQ(read->state.accepted, durable.state.accepted);
+  EXPECT_EQ(read->state.grantHolders, durable.state.grantHolders);
+  EXPECT_TRUE(logLines.empty());
 }
 
-// A change that was proposed and never held may carry the number that another primary's change has got.
-TEST_F(StateStoreTest, AnotherBodyUnderTheSameSequenceIsWritten) {
-  DurableState kept = sample(4);
+// A proposed change that was never committed may have the same sequence as a later change of another primary.
+TEST_F(StateStoreTest, WritesAnotherBodyWithTheSameSequence) {
+  DurableState durable = sample(4);
   {
     StateStore store(disk(), log);
-    EXPECT_TRUE(store.write(kept));
-    kept.state.body = std::make_shared<const std::string>("another");
-    EXPECT_TRUE(store.write(kept));
+    EXPECT_TRUE(store.write(durable));
+    durable.state.body = std::make_shared<const std::string>("another");
+    EXPECT_TRUE(store.write(durable));
   }
   EXPECT_EQ(*StateStore(disk(), log).read()->state.body, "another");
 }
 
-// Files of form 1 told older changes by hashes of 64 bits. The current one is known by its bytes; each other
-// one counts as possibly accepted.
-TEST_F(StateStoreTest, FormOneIsReadAndItsOlderChangesAreNeitherConfirmedNorRejected) {
-  DurableState kept = sample(7);
-  const Digest digest = sha256(*kept.state.body);
-  kept.state.accepted = AcceptedChanges(0, {{3, sha256("three")}, {7, digest}});
+// Files of format version 1 identify older changes by 64-bit hashes. Only the current change is known, by its
+// body; every older revision counts as possibly accepted.
+TEST_F(StateStoreTest, ReadsFormatVersionOneAndCountsItsOlderChangesAsCompacted) {
+  DurableState durable = sample(7);
+  const Digest digest = sha256(*durable.state.body);
+  durable.state.accepted = AcceptedChanges(0, {{3, sha256("three")}, {7, digest}});
   {
     StateStore store(disk(), log);
-    EXPECT_TRUE(store.write(kept));
+    EXPECT_TRUE(store.write(durable));
   }
   {
     leveldb::DB* opened = nullptr;
@@ -101,42 +102,43 @@
   const AcceptedChanges expected(6, {{7, digest}});
   {
     StateStore store(disk(), log);
-    kept = store.read().value();
-    EXPECT_EQ(kept.state.accepted, expected);
-    EXPECT_TRUE(kept.state.accepted.mayHaveCompacted(3));
-    EXPECT_TRUE(store.write(kept));
+    durable = store.read().value();
+    EXPECT_EQ(durable.state.accepted, expected);
+    EXPECT_TRUE(durable.state.accepted.mayHaveCompacted(3));
+    EXPECT_TRUE(store.write(durable));
   }
-  EXPECT_EQ(StateStore(disk(), log).read()->state.accepted, expected) << "what an older build left is gone";
-  EXPECT_TRUE(said.empty());
+  EXPECT_EQ(StateStore(disk(), log).read()->state.accepted, expected)
+      << "the keys left by an older build must be deleted";
+  EXPECT_TRUE(logLines.empty());
 }
 
-// Whichever state follows another, what is read is what was written last.
-TEST_F(StateStoreTest, AcceptedChangesAreKeptInStep) {
+// Writes random sequences of accepted changes one after another; each read returns the last one written.
+TEST_F(StateStoreTest, ReadsTheAcceptedChangesWrittenLast) {
   std::mt19937_64 random(1);
   std::optional<StateStore> store(std::in_place, disk(), log);
-  for (int round = 0; round < 200; ++round) {
+  for (int iteration = 0; iteration < 200; ++iteration) {
     DurableState next = sample(40);
     std::vector<AcceptedChange> entries;
     for (std::uint64_t revision = 10; revision < 40; ++revision)
       if (random() % 3 > 0) entries.push_back({revision, sha256(std::to_string(random() % 2))});
     next.state.accepted = AcceptedChanges(random() % 10, entries);
     ASSERT_TRUE(store->write(next));
-    if (round % 10 == 0) store.emplace(disk(), log);
+    if (iteration % 10 == 0) store.emplace(disk(), log);
     ASSERT_EQ(store->read()->state.accepted, next.state.accepted);
   }
 }
 
-TEST_F(StateStoreTest, ALossOfPowerTakesNothingThatWasWritten) {
+TEST_F(StateStoreTest, WrittenStateSurvivesAPowerLoss) {
   for (std::uint64_t seed = 0; seed < 60; ++seed) {
     std::filesystem::remove_all(folder.parent_path());
-    UnreliableDisk weak(seed);
+    UnreliableDisk unreliable(seed);
     std::mt19937_64 random(seed);
     std::uint64_t number = 0;
-    for (int life = 0; life < 5; ++life) {
+    for (int run = 0; run < 5; ++run) {
       {
-        StateStore store(disk(weak), log);
+        StateStore store(disk(unreliable), log);
         const auto read = store.read();
-        ASSERT_EQ(read ? read->votedEpoch : 0, number) << "seed " << seed << " life " << life;
+        ASSERT_EQ(read ? read->votedEpoch : 0, number) << "seed " << seed << " run " << run;
         if (read) {
           ASSERT_EQ(*read->state.body, *sample(number, 20000).state.body);
         }
@@ -144,32 +146,32 @@
         for (auto writes = random() % 20; writes > 0; --writes)
           ASSERT_TRUE(store.write(sample(++number, 20000)));
       }
-      weak.losePower();
+      unreliable.losePower();
     }
   }
 }
 
-TEST_F(StateStoreTest, AFullDiskIsReportedAndLosesNothingAndIsUsedAgain) {
-  UnreliableDisk weak(1);
+TEST_F(StateStoreTest, ReportsAFullDiskWithoutLossAndRecovers) {
+  UnreliableDisk unreliable(1);
   {
-    StateStore store(disk(weak), log);
+    StateStore store(disk(unreliable), log);
     EXPECT_TRUE(store.write(sample(1)));
-    weak.full = true;
+    unreliable.full = true;
     EXPECT_FALSE(store.write(sample(2)));
-    weak.full = false;
-    EXPECT_FALSE(store.write(sample(2))) << "nothing more through what has failed";
+    unreliable.full = false;
+    EXPECT_FALSE(store.write(sample(2))) << "no write may succeed after a failed one";
   }
-  weak.full = true;
-  EXPECT_THROW(StateStore(disk(weak), log), std::runtime_error);
-  weak.full = false;
-  StateStore store(disk(weak), log);
+  unreliable.full = true;
+  EXPECT_THROW(StateStore(disk(unreliable), log), std::runtime_error);
+  unreliable.full = false;
+  StateStore store(disk(unreliable), log);
   EXPECT_FALSE(store.wasMovedAside());
   ASSERT_TRUE(store.read());
   EXPECT_GE(store.read()->votedEpoch, 1u);
   EXPECT_TRUE(store.write(sample(3)));
 }
 
-TEST_F(StateStoreTest, WhatIsDamagedBeyondRepairIsSetAsideAndLogged) {
+TEST_F(StateStoreTest, MovesACorruptStoreAsideAndLogsIt) {
   {
     StateStore store(disk(), log);
     EXPECT_TRUE(store.write(sample(1)));
@@ -180,7 +182,7 @@
   }
   StateStore store(disk(), log);
   EXPECT_FALSE(store.read());
-  EXPECT_FALSE(said.empty());
+  EXPECT_FALSE(logLines.empty());
   EXPECT_TRUE(store.write(sample(2)));
 }
 
--- a/tests/consensus/unreliable_disk.hpp
+++ b/tests/consensus/unreliable_disk.hpp
@@ -1,6 +1,6 @@
-// A disk that guarantees what DEPLOY.md guarantees and no more, over real files: a file's bytes last once the
-// file was synced, a renamed or removed name once its folder was. A loss of power takes of the rest what its
-// seed says.
+// A disk over real files with exactly the guarantees stated in DEPLOY.md: the bytes of a file are durable
+// once the file is synced, and a renaming or removal is durable once its directory is synced. A simulated
+// power loss drops a part of everything else, drawn from the seed.
 #pragma once
 
 #include <leveldb/env.h>
@@ -22,38 +22,40 @@
  public:
   explicit UnreliableDisk(std::uint64_t seed) : EnvWrapper(leveldb::Env::Default()), random_(seed) {}
 
-  std::atomic<bool> full = false;  // takes no more bytes
+  std::atomic<bool> full = false;  // rejects further writes
 
   bool syncFolder() {
     const std::lock_guard lock(mutex_);
-    names_.clear();
+    nameChanges_.clear();
     return !full;
   }
 
-  // To be called while no store is open.
+  // Simulates a power loss. No store may be open.
   void losePower() {
-    // Names first, the newest change first; what comes back has the bytes that were synced then.
-    std::reverse(names_.begin(), names_.end());
-    for (const auto& name : names_) {
+    // Reverts changes of names first, from the newest to the oldest; a restored file has its bytes of that
+    // time.
+    std::reverse(nameChanges_.begin(), nameChanges_.end());
+    for (const auto& change : nameChanges_) {
       if (chance() < 0.5) continue;
-      if (!name.from.empty() && std::filesystem::exists(name.to)) std::filesystem::rename(name.to, name.from);
-      if (name.had) write(name.to, name.bytes);
+      if (!change.from.empty() && std::filesystem::exists(change.to))
+        std::filesystem::rename(change.to, change.from);
+      if (change.existed) write(change.to, change.bytes);
     }
-    names_.clear();
+    nameChanges_.clear();
     for (const auto& [file, synced] : synced_) {
       if (!std::filesystem::exists(file)) continue;
       std::string bytes = read(file);
       if (bytes.size() <= synced.bytes) continue;
-      if (!synced.ever && chance() < 0.5) {
+      if (!synced.wasEverSynced && chance() < 0.5) {
         std::filesystem::remove(file);
         continue;
       }
-      const auto left = synced.bytes +
-                        static_cast<std::size_t>(chance() * static_cast<double>(bytes.size() - synced.bytes));
-      if (chance() < 0.3 && left < bytes.size())
-        bytes[left] = static_cast<char>(bytes[left] ^ 0x55);  // torn
+      const auto remaining = synced.bytes + static_cast<std::size_t>(
+                                                chance() * static_cast<double>(bytes.size() - synced.bytes));
+      if (chance() < 0.3 && remaining < bytes.size())
+        bytes[remaining] = static_cast<char>(bytes[remaining] ^ 0x55);  // a torn write
       else
-        bytes.resize(left);
+        bytes.resize(remaining);
       write(file, bytes);
     }
     synced_.clear();
@@ -62,46 +64,47 @@
   leveldb::Status NewWritableFile(const std::string& file, leveldb::WritableFile** out) override {
     const std::lock_guard lock(mutex_);
     if (full) return leveldb::Status::IOError(file, "No space left on device");
-    leveldb::Status made = target()->NewWritableFile(file, out);
-    if (made.ok()) *out = new File(*this, file, *out), synced_[file] = {};
-    return made;
+    leveldb::Status status = target()->NewWritableFile(file, out);
+    if (status.ok()) *out = new File(*this, file, *out), synced_[file] = {};
+    return status;
   }
   leveldb::Status NewAppendableFile(const std::string& file, leveldb::WritableFile** out) override {
     const std::lock_guard lock(mutex_);
-    const std::size_t had = std::filesystem::exists(file) ? std::filesystem::file_size(file) : 0;
-    leveldb::Status made = target()->NewAppendableFile(file, out);
-    if (made.ok()) *out = new File(*this, file, *out), synced_.try_emplace(file, Synced{had, had > 0});
-    return made;
+    const std::size_t existingBytes = std::filesystem::exists(file) ? std::filesystem::file_size(file) : 0;
+    leveldb::Status status = target()->NewAppendableFile(file, out);
+    if (status.ok())
+      *out = new File(*this, file, *out), synced_.try_emplace(file, Synced{existingBytes, existingBytes > 0});
+    return status;
   }
   leveldb::Status RenameFile(const std::string& from, const std::string& to) override {
     const std::lock_guard lock(mutex_);
-    Name name{from, to, std::filesystem::exists(to), {}};
-    if (name.had) name.bytes = read(to);
-    leveldb::Status done = target()->RenameFile(from, to);
-    if (done.ok()) names_.push_back(std::move(name));
-    if (const auto found = synced_.find(from); done.ok() && found != synced_.end()) {
+    NameChange change{from, to, std::filesystem::exists(to), {}};
+    if (change.existed) change.bytes = read(to);
+    leveldb::Status status = target()->RenameFile(from, to);
+    if (status.ok()) nameChanges_.push_back(std::move(change));
+    if (const auto found = synced_.find(from); status.ok() && found != synced_.end()) {
       synced_[to] = found->second;
       synced_.erase(found);
     }
-    return done;
+    return status;
   }
   leveldb::Status RemoveFile(const std::string& file) override {
     const std::lock_guard lock(mutex_);
-    Name name{{}, file, true, std::filesystem::exists(file) ? read(file) : std::string()};
-    leveldb::Status done = target()->RemoveFile(file);
-    if (done.ok()) names_.push_back(std::move(name));
+    NameChange change{{}, file, true, std::filesystem::exists(file) ? read(file) : std::string()};
+    leveldb::Status status = target()->RemoveFile(file);
+    if (status.ok()) nameChanges_.push_back(std::move(change));
     synced_.erase(file);
-    return done;
+    return status;
   }
 
  private:
   struct Synced {
     std::size_t bytes = 0;
-    bool ever = false;
+    bool wasEverSynced = false;
   };
-  struct Name {  // a change that the folder has not been synced for
+  struct NameChange {  // a renaming or removal that is not durable yet
     std::string from, to;
-    bool had = false;  // there was a file of this name before
+    bool existed = false;  // there was a file of this name before
     std::string bytes;
   };
   class File : public leveldb::WritableFile {
@@ -116,12 +119,12 @@
     leveldb::Status Flush() override { return file_->Flush(); }
     leveldb::Status Sync() override {
       if (disk_.full) return leveldb::Status::IOError(name_, "No space left on device");
-      leveldb::Status done = file_->Sync();
+      leveldb::Status status = file_->Sync();
       const std::lock_guard lock(disk_.mutex_);
-      // LevelDB's own code syncs the folder with its MANIFEST.
-      if (done.ok() && name_.find("MANIFEST") != std::string::npos) disk_.names_.clear();
-      if (done.ok()) disk_.synced_[name_] = {std::filesystem::file_size(name_), true};
-      return done;
+      // LevelDB's default environment syncs the directory together with the MANIFEST.
+      if (status.ok() && name_.find("MANIFEST") != std::string::npos) disk_.nameChanges_.clear();
+      if (status.ok()) disk_.synced_[name_] = {std::filesystem::file_size(name_), true};
+      return status;
     }
 
    private:
@@ -139,10 +142,10 @@
     std::ofstream(file, std::ios::binary | std::ios::trunc) << bytes;
   }
 
-  std::mutex mutex_;  // LevelDB compacts in a thread of its own
+  std::mutex mutex_;  // LevelDB compacts in a background thread
   std::mt19937_64 random_;
   std::map<std::string, Synced> synced_;
-  std::vector<Name> names_;
+  std::vector<NameChange> nameChanges_;
 };
 
 }  // namespace lilacmux::test
--- a/tests/model/core.pml
+++ b/tests/model/core.pml
@@ -1,80 +1,80 @@
-/* The core's agreement (src/consensus/replica.hpp) without clocks: promises, records, votes, the backup's copy,
- * restarts, one disk lost while the core is at rest, and, with a spare, the change of members.
+/* The consensus protocol (src/consensus/replica.hpp) without clocks: votes, records, replication to the backup,
+ * restarts, the loss of one disk while the core is healthy, and, with a spare, membership changes.
  *
- * Messages are not queues but what their sender has said once and for all: a record can be taken, a sync or a
- * vote counted, at any time after it was said, in any order, or never. An epoch is ROUND * 4 + place, so what a
- * primary said under one never changes; arrays by epoch hold it.
+ * Messages are not modelled as queues. A message that was sent can be delivered at any later time, in any order, or
+ * never. An epoch is TERM * 4 + step, so the record of an epoch never changes; it is stored in arrays indexed by
+ * epoch.
  *
- * Checked: (1) a newer primary whose record holds has all that was acknowledged; (2) a round has one winner; (3) only who
- * leads an epoch acknowledges in it. Leases, which keep an old primary from serving old state, are a matter of
- * clocks and stand in the seeded storms (src/experiment/fault_schedule.hpp).
+ * Checked: (1) a newer primary in an established epoch has all acknowledged changes; (2) a term has one winner;
+ * (3) only the primary of an epoch acknowledges changes in it. Leases, which keep an old primary from serving old
+ * state, depend on clocks and are tested by the seeded fault schedules (src/experiment/fault_schedule.hpp).
  *
- * -DNODES=4 adds a spare that can take a member's place. -DMUTANT=n breaks one rule; each must be caught.
+ * -DNODES=4 adds a spare that can replace a member. -DMUTANT=n breaks one rule; each mutant must be found.
  */
 #ifndef NODES
 #define NODES 3
 #endif
-#ifndef ROUNDS
-#define ROUNDS 2        /* after the first */
+#ifndef TERMS
+#define TERMS 2        /* after the first */
 #endif
-#ifndef PLACES
-#define PLACES 2        /* changes that a winner makes without a vote */
+#ifndef STEPS
+#define STEPS 2        /* per term: changes of the record without a vote */
 #endif
 #ifndef CHANGES
-#define CHANGES 2       /* the operators' */
+#define CHANGES 2       /* operators' changes */
 #endif
 #ifndef MUTANT
 #define MUTANT 0
 #endif
 #define EPOCHS 20
-#define ROUND(e) ((e) >> 2)
+#define TERM(e) ((e) >> 2)
 #define BIT(i) (1 << (i))
 #define HAS(m, i) (((m) >> (i)) & 1)
 #define COUNT(m) (((m) & 1) + (((m) >> 1) & 1) + (((m) >> 2) & 1) + (((m) >> 3) & 1))
-#define MOST(m, of) (2 * COUNT((m) & (of)) > COUNT(of))
-#define DECIDES(m, e) (MOST(m, members[e]) && (leaving[e] == 0 || MOST(m, leaving[e])))
+#define MAJORITY(m, of) (2 * COUNT((m) & (of)) > COUNT(of))
+#define QUORUM(m, e) (MAJORITY(m, members[e]) && (oldMembers[e] == 0 || MAJORITY(m, oldMembers[e])))
 #if MUTANT == 3
 #define MAY_VOTE(i) true
 #else
-#define MAY_VOTE(i) (!bare[i])
+#define MAY_VOTE(i) (!hasEmptyDisk[i])
 #endif
 #if MUTANT == 6
-#define KNOWS(i, e) true
+#define CAN_REPORT(i, e) true
 #else
-#define KNOWS(i, e) (forgotten[i] < (e))
+#define CAN_REPORT(i, e) (lostEpoch[i] < (e))
 #endif
 #if MUTANT == 4
-#define KEEPS_PROMISE(i) true
+#define MAY_STORE_STATE(i) true
 #else
-#define KEEPS_PROMISE(i) (promised[i] == record[i])
+#define MAY_STORE_STATE(i) (votedEpoch[i] == record[i])
 #endif
-#define IS_MEMBER(i) (HAS(members[record[i]], i) || HAS(leaving[record[i]], i))
+#define IS_MEMBER(i) (HAS(members[record[i]], i) || HAS(oldMembers[record[i]], i))
 
-/* What was said under an epoch. */
-byte primary[EPOCHS], backup[EPOCHS], previous[EPOCHS], members[EPOCHS], leaving[EPOCHS];
-byte took[EPOCHS];      /* who has said that it keeps the record */
-byte synced[EPOCHS];    /* the newest state that the backup said it keeps, as a set of changes */
-bool given[EPOCHS];     /* and whether it was given any */
+/* The record of an epoch, and its acknowledgements. */
+byte primary[EPOCHS], backup[EPOCHS], previous[EPOCHS], members[EPOCHS], oldMembers[EPOCHS];
+byte accepted[EPOCHS];      /* the nodes that have accepted the record */
+byte replicatedData[EPOCHS];    /* the newest state acknowledged by the backup, as a set of changes */
+bool isReplicated[EPOCHS];     /* whether the backup has acknowledged any state */
 
-/* A node's disk. */
-byte promised[NODES], promisedTo[NODES], record[NODES], dataEpoch[NODES], data[NODES];
-bool bare[NODES];
-byte forgotten[NODES];  /* what was kept under records up to this one is lost */
-/* A node's memory. */
-bool leads[NODES];
-byte stands[NODES];     /* the epoch that it asks votes for; 0: none */
+/* The disk of a node. */
+byte votedEpoch[NODES], votedFor[NODES], record[NODES], dataEpoch[NODES], data[NODES];
+bool hasEmptyDisk[NODES];
+byte lostEpoch[NODES];  /* state stored under records up to this epoch is lost */
+/* The memory of a node. */
+bool isPrimary[NODES];
+byte candidateEpoch[NODES];     /* the epoch in which the node is a candidate; 0: none */
 byte votes[NODES];
 byte voteRecord[NODES * NODES], voteData[NODES * NODES];
 
-byte acknowledged, asked, newest, wiped;
-byte holder, held;      /* the newest epoch whose record has held, and its state then */
-bool won[8];
+byte acknowledged, proposed, newest, diskLost;
+byte newestEstablished, establishedData;      /* the newest established epoch, and its state at that time */
+bool termWon[8];
 
-#define HOLDS(e) (DECIDES(took[e], e) && given[e])
-#define NOW(i) (record[i])
+#define ESTABLISHED(e) (QUORUM(accepted[e], e) && isReplicated[e])
+#define EPOCH_OF(i) (record[i])
 
-inline wins(i) {
-  /* the newest record that a voter has tells who decides, and who has the state */
+inline evaluateVotes(i) {
+  /* the newest record among the voters determines the quorum and the backup that has the state */
   n = record[i];
   j = 0;
   do
@@ -87,9 +87,9 @@
   :: else -> break
   od;
   j = backup[n];
-  ok = HAS(members[n], i) && DECIDES(votes[i], n);
+  isWon = HAS(members[n], i) && QUORUM(votes[i], n);
 #if MUTANT == 1
-  ok = HAS(members[n], i) && MOST(votes[i], members[record[i]]);
+  isWon = HAS(members[n], i) && MAJORITY(votes[i], members[record[i]]);
 #endif
   if
   :: n == 0 || dataEpoch[i] == n -> skip
@@ -97,37 +97,37 @@
   :: else -> skip
 #else
   :: else ->
-     ok = ok && dataEpoch[i] >= previous[n] &&
-          ((j == i && dataEpoch[i] < n && KNOWS(i, n)) ||
-           (j != i && HAS(votes[i], j) && voteData[i * NODES + j] < n && KNOWS(j, n)))
+     isWon = isWon && dataEpoch[i] >= previous[n] &&
+          ((j == i && dataEpoch[i] < n && CAN_REPORT(i, n)) ||
+           (j != i && HAS(votes[i], j) && voteData[i * NODES + j] < n && CAN_REPORT(j, n)))
 #endif
   fi
 }
 
-/* The next place in the round of the one that leads. */
-inline renew(i, b, m, l) {
+/* The primary opens the next step of its term. */
+inline openNextEpoch(i, b, m, l) {
   n = record[i] + 1;
-  primary[n] = i; backup[n] = b; previous[n] = record[i]; members[n] = m; leaving[n] = l;
-  took[n] = BIT(i);
-  promised[i] = n; promisedTo[i] = i; record[i] = n; dataEpoch[i] = n;
+  primary[n] = i; backup[n] = b; previous[n] = record[i]; members[n] = m; oldMembers[n] = l;
+  accepted[n] = BIT(i);
+  votedEpoch[i] = n; votedFor[i] = i; record[i] = n; dataEpoch[i] = n;
   if :: n > newest -> newest = n :: else fi;
   n = 0
 }
 
 proctype node(byte i) {
   byte n, j;
-  bool ok;
+  bool isWon;
   do
-  /* It is restarted: the disk stays. */
-  :: atomic { (leads[i] || stands[i] > 0) -> leads[i] = false; stands[i] = 0; votes[i] = 0 }
+  /* The node restarts; its disk is retained. */
+  :: atomic { (isPrimary[i] || candidateEpoch[i] > 0) -> isPrimary[i] = false; candidateEpoch[i] = 0; votes[i] = 0 }
 
-  /* It stands for election in the next round that it knows of. */
-  :: atomic { !bare[i] && !leads[i] && stands[i] == 0 && IS_MEMBER(i) && ROUND(promised[i]) < ROUNDS ->
-       promised[i] = (ROUND(promised[i]) + 1) * 4; promisedTo[i] = i;
-       stands[i] = promised[i]; votes[i] = BIT(i) }
+  /* The node starts an election in the next term. */
+  :: atomic { !hasEmptyDisk[i] && !isPrimary[i] && candidateEpoch[i] == 0 && IS_MEMBER(i) && TERM(votedEpoch[i]) < TERMS ->
+       votedEpoch[i] = (TERM(votedEpoch[i]) + 1) * 4; votedFor[i] = i;
+       candidateEpoch[i] = votedEpoch[i]; votes[i] = BIT(i) }
 
-  /* Another votes for it. */
-  :: atomic { stands[i] > 0 && stands[i] == promised[i] ->
+  /* Another node votes for this one. */
+  :: atomic { candidateEpoch[i] > 0 && candidateEpoch[i] == votedEpoch[i] ->
        if
        :: j = 0 :: j = 1 :: j = 2
 #if NODES > 3
@@ -135,21 +135,21 @@
 #endif
        fi;
        if
-       :: j != i && !HAS(votes[i], j) && stands[i] > promised[j] && HAS(members[record[j]] | leaving[record[j]], j) &&
+       :: j != i && !HAS(votes[i], j) && candidateEpoch[i] > votedEpoch[j] && HAS(members[record[j]] | oldMembers[record[j]], j) &&
           MAY_VOTE(j) ->
-          promised[j] = stands[i]; promisedTo[j] = i; stands[j] = 0;
+          votedEpoch[j] = candidateEpoch[i]; votedFor[j] = i; candidateEpoch[j] = 0;
           votes[i] = votes[i] | BIT(j);
           voteRecord[i * NODES + j] = record[j]; voteData[i * NODES + j] = dataEpoch[j]
        :: else
        fi; j = 0 }
 
-  /* It has won. */
-  :: atomic { stands[i] > 0 && stands[i] == promised[i] && COUNT(votes[i]) > 1 ->
-       wins(i);
+  /* The node wins the election. */
+  :: atomic { candidateEpoch[i] > 0 && candidateEpoch[i] == votedEpoch[i] && COUNT(votes[i]) > 1 ->
+       evaluateVotes(i);
        if
-       :: ok ->
-          assert(!won[ROUND(stands[i])]);
-          won[ROUND(stands[i])] = true;
+       :: isWon ->
+          assert(!termWon[TERM(candidateEpoch[i])]);
+          termWon[TERM(candidateEpoch[i])] = true;
           if
           :: HAS(votes[i], 0) && i != 0 && HAS(members[n], 0) -> j = 0
           :: HAS(votes[i], 1) && i != 1 && HAS(members[n], 1) -> j = 1
@@ -161,98 +161,98 @@
           fi;
           if
           :: j != i ->
-             record[i] = stands[i];
+             record[i] = candidateEpoch[i];
              primary[record[i]] = i; backup[record[i]] = j; previous[record[i]] = n;
-             members[record[i]] = members[n]; leaving[record[i]] = leaving[n];
-             took[record[i]] = BIT(i); dataEpoch[i] = record[i];
-             leads[i] = true; stands[i] = 0; votes[i] = 0;
+             members[record[i]] = members[n]; oldMembers[record[i]] = oldMembers[n];
+             accepted[record[i]] = BIT(i); dataEpoch[i] = record[i];
+             isPrimary[i] = true; candidateEpoch[i] = 0; votes[i] = 0;
              if :: record[i] > newest -> newest = record[i] :: else fi
           :: else
           fi
        :: else
-       fi; n = 0; j = 0; ok = false }
+       fi; n = 0; j = 0; isWon = false }
 
-  /* It takes a record that was said once. An empty disk listens first: for longer than an old primary's lease and
-     than any call between members lives, so that what it takes then is the newest. */
-  :: atomic { newest > 0 && !leads[i] ->
+  /* The node accepts a record that was sent. A node with an empty disk first waits, for longer than the lease of an
+     old primary and than the lifetime of any call between members, so the record that it accepts is the newest. */
+  :: atomic { newest > 0 && !isPrimary[i] ->
        n = newest;
        do
        :: n > 1 -> n--
        :: break
        od;
        if
-       :: members[n] != 0 && n != record[i] && n >= record[i] && n >= promised[i] && primary[n] != i &&
-          !(ROUND(n) == ROUND(promised[i]) && promised[i] > 0 && promisedTo[i] != primary[n]) &&
-          (!bare[i] || n == newest) ->
-          record[i] = n; promised[i] = n; promisedTo[i] = primary[n];
-          if :: bare[i] -> bare[i] = false; forgotten[i] = n :: else fi;
-          stands[i] = 0; votes[i] = 0;
-          took[n] = took[n] | BIT(i)
+       :: members[n] != 0 && n != record[i] && n >= record[i] && n >= votedEpoch[i] && primary[n] != i &&
+          !(TERM(n) == TERM(votedEpoch[i]) && votedEpoch[i] > 0 && votedFor[i] != primary[n]) &&
+          (!hasEmptyDisk[i] || n == newest) ->
+          record[i] = n; votedEpoch[i] = n; votedFor[i] = primary[n];
+          if :: hasEmptyDisk[i] -> hasEmptyDisk[i] = false; lostEpoch[i] = n :: else fi;
+          candidateEpoch[i] = 0; votes[i] = 0;
+          accepted[n] = accepted[n] | BIT(i)
        :: else
        fi; n = 0 }
 
-  /* The backup keeps the state that its primary has sent under this record. */
-  :: atomic { record[i] > 0 && backup[record[i]] == i && primary[record[i]] != i && leads[primary[record[i]]] &&
-              KEEPS_PROMISE(i) &&
+  /* The backup stores the state that its primary has sent under this record. */
+  :: atomic { record[i] > 0 && backup[record[i]] == i && primary[record[i]] != i && isPrimary[primary[record[i]]] &&
+              MAY_STORE_STATE(i) &&
               record[primary[record[i]]] == record[i] ->
        data[i] = data[primary[record[i]]]; dataEpoch[i] = record[i];
-       synced[record[i]] = data[i]; given[record[i]] = true }
+       replicatedData[record[i]] = data[i]; isReplicated[record[i]] = true }
 
-  /* The primary's record holds: all that was acknowledged is here. One that does not know yet that another has
-     followed it may still acknowledge, late, what that one has too. */
-  :: atomic { leads[i] && HOLDS(NOW(i)) && synced[NOW(i)] == data[i] &&
-              (NOW(i) > holder || (data[i] | acknowledged) != acknowledged) ->
-       assert(primary[NOW(i)] == i);
+  /* The primary's epoch is established: it must have all acknowledged changes. A primary that does not know its
+     successor yet may still acknowledge changes that the successor has too. */
+  :: atomic { isPrimary[i] && ESTABLISHED(EPOCH_OF(i)) && replicatedData[EPOCH_OF(i)] == data[i] &&
+              (EPOCH_OF(i) > newestEstablished || (data[i] | acknowledged) != acknowledged) ->
+       assert(primary[EPOCH_OF(i)] == i);
        if
-       :: NOW(i) >= holder -> assert((data[i] & acknowledged) == acknowledged); holder = NOW(i); held = data[i]
-       :: else -> assert((held & data[i]) == data[i])
+       :: EPOCH_OF(i) >= newestEstablished -> assert((data[i] & acknowledged) == acknowledged); newestEstablished = EPOCH_OF(i); establishedData = data[i]
+       :: else -> assert((establishedData & data[i]) == data[i])
        fi;
        acknowledged = acknowledged | data[i] }
 
-  /* A change is asked of it. */
-  :: atomic { leads[i] && asked < CHANGES && promised[i] == record[i] && HOLDS(NOW(i)) && synced[NOW(i)] == data[i] ->
-       data[i] = data[i] | BIT(asked); asked++ }
+  /* The primary proposes a change. */
+  :: atomic { isPrimary[i] && proposed < CHANGES && votedEpoch[i] == record[i] && ESTABLISHED(EPOCH_OF(i)) && replicatedData[EPOCH_OF(i)] == data[i] ->
+       data[i] = data[i] | BIT(proposed); proposed++ }
 
   /* Another member becomes the backup. */
-  :: atomic { leads[i] && promised[i] == record[i] && (record[i] & 3) < PLACES ->
+  :: atomic { isPrimary[i] && votedEpoch[i] == record[i] && (record[i] & 3) < STEPS ->
        if
        :: HAS(members[record[i]], 0) && i != 0 -> j = 0
        :: HAS(members[record[i]], 1) && i != 1 -> j = 1
        :: HAS(members[record[i]], 2) && i != 2 -> j = 2
        fi;
        if
-       :: j != backup[record[i]] -> renew(i, j, members[record[i]], leaving[record[i]])
+       :: j != backup[record[i]] -> openNextEpoch(i, j, members[record[i]], oldMembers[record[i]])
        :: else
        fi; j = 0 }
 
 #if NODES > 3
-  /* The spare takes the place of a member, which is said in two records. */
-  :: atomic { leads[i] && promised[i] == record[i] && (record[i] & 3) < PLACES && HOLDS(NOW(i)) &&
-              leaving[NOW(i)] == 0 && !HAS(members[NOW(i)], 3) && HAS(took[NOW(i)], 3) ->
+  /* The spare replaces a member, in two records. */
+  :: atomic { isPrimary[i] && votedEpoch[i] == record[i] && (record[i] & 3) < STEPS && ESTABLISHED(EPOCH_OF(i)) &&
+              oldMembers[EPOCH_OF(i)] == 0 && !HAS(members[EPOCH_OF(i)], 3) && HAS(accepted[EPOCH_OF(i)], 3) ->
        if
-       :: i != 0 && backup[NOW(i)] != 0 -> j = 0
-       :: i != 1 && backup[NOW(i)] != 1 -> j = 1
-       :: i != 2 && backup[NOW(i)] != 2 -> j = 2
+       :: i != 0 && backup[EPOCH_OF(i)] != 0 -> j = 0
+       :: i != 1 && backup[EPOCH_OF(i)] != 1 -> j = 1
+       :: i != 2 && backup[EPOCH_OF(i)] != 2 -> j = 2
        fi;
 #if MUTANT == 5
-       renew(i, backup[NOW(i)], (members[NOW(i)] | 8) & (15 - BIT(j)), 0);
+       openNextEpoch(i, backup[EPOCH_OF(i)], (members[EPOCH_OF(i)] | 8) & (15 - BIT(j)), 0);
 #else
-       renew(i, backup[NOW(i)], (members[NOW(i)] | 8) & (15 - BIT(j)), members[NOW(i)]);
+       openNextEpoch(i, backup[EPOCH_OF(i)], (members[EPOCH_OF(i)] | 8) & (15 - BIT(j)), members[EPOCH_OF(i)]);
 #endif
        j = 0 }
-  :: atomic { leads[i] && promised[i] == record[i] && (record[i] & 3) < PLACES && leaving[NOW(i)] != 0 &&
-              HOLDS(NOW(i)) && synced[NOW(i)] == data[i] ->
-       renew(i, backup[NOW(i)], members[NOW(i)], 0) }
+  :: atomic { isPrimary[i] && votedEpoch[i] == record[i] && (record[i] & 3) < STEPS && oldMembers[EPOCH_OF(i)] != 0 &&
+              ESTABLISHED(EPOCH_OF(i)) && replicatedData[EPOCH_OF(i)] == data[i] ->
+       openNextEpoch(i, backup[EPOCH_OF(i)], members[EPOCH_OF(i)], 0) }
 #endif
 
-  /* A disk is lost: one, while the core is at rest. */
-  :: atomic { wiped == 0 && newest > 0 && HOLDS(newest) && leads[primary[newest]] && record[primary[newest]] == newest &&
-              synced[newest] == data[primary[newest]] && leaving[newest] == 0 && HAS(members[newest], i) &&
-              (took[newest] & members[newest]) == members[newest] ->
-       wiped = 1;
-       promised[i] = 0; promisedTo[i] = 0; record[i] = 0; dataEpoch[i] = 0; data[i] = 0; bare[i] = true;
-       leads[i] = false; stands[i] = 0; votes[i] = 0;
-       /* a ballot lives 250 ms, an empty disk listens for 2 s: its votes of before count no more */
+  /* One disk is lost, while the core is healthy. */
+  :: atomic { diskLost == 0 && newest > 0 && ESTABLISHED(newest) && isPrimary[primary[newest]] && record[primary[newest]] == newest &&
+              replicatedData[newest] == data[primary[newest]] && oldMembers[newest] == 0 && HAS(members[newest], i) &&
+              (accepted[newest] & members[newest]) == members[newest] ->
+       diskLost = 1;
+       votedEpoch[i] = 0; votedFor[i] = 0; record[i] = 0; dataEpoch[i] = 0; data[i] = 0; hasEmptyDisk[i] = true;
+       isPrimary[i] = false; candidateEpoch[i] = 0; votes[i] = 0;
+       /* votes are valid for 250 ms and an empty disk waits for 2 s: votes from before the loss no longer count */
        for (j : 0 .. NODES - 1) { votes[j] = votes[j] & (15 - BIT(i)) }
        j = 0 }
   od
@@ -261,9 +261,9 @@
 init {
   atomic {
     members[0] = 7;
-    given[0] = true;
+    isReplicated[0] = true;
 #if NODES > 3
-    bare[3] = true;
+    hasEmptyDisk[3] = true;
 #endif
     run node(0); run node(1); run node(2);
 #if NODES > 3
--- a/tests/model/core_search.cpp
+++ b/tests/model/core_search.cpp
@@ -1,8 +1,8 @@
 // Searches the states of the model (model_rules.hpp) breadth first, so that the first trace found is a
-// shortest one. Exit code 0: as expected (`expect=holds`, the default, or `expect=breaks`); 1: not so; 2: bad
-// arguments.
+// shortest one. Exit code 0: the result is as expected (`expect=holds`, the default, `expect=bounded` or
+// `expect=breaks`); 1: it is not; 2: bad arguments.
 //
-//   core_search members=5 losses=2 rounds=3 places=1 changes=1 mutant=none seconds=30 threads=2
+//   core_search members=5 losses=2 terms=3 steps=1 changes=1 mutant=none seconds=30 threads=2
 #include <atomic>
 #include <chrono>
 #include <cstdio>
@@ -25,55 +25,55 @@
   Bounds bounds;
   std::string mutant = "none";
   std::string expected = "holds";
-  unsigned choice = 1;  // 0: whether a primary can be chosen is not looked at
+  unsigned checksElectability = 1;  // 0: does not check whether a primary can be elected
   unsigned seconds = 30;
   unsigned threads = 2;
-  unsigned bits = 24;  // of the number of places for states seen
+  unsigned bits = 24;  // binary logarithm of the number of slots for visited states
 };
 
 const std::map<std::string, Mutant> kMutants = {
     {"none", Mutant::none},
-    {"old-members-decide", Mutant::oldMembersDecide},
-    {"new-members-decide", Mutant::newMembersDecide},
-    {"own-members-decide", Mutant::ownMembersDecide},
-    {"state-not-weighed", Mutant::stateNotWeighed},
+    {"old-quorum-suffices", Mutant::oldQuorumSuffices},
+    {"new-quorum-suffices", Mutant::newQuorumSuffices},
+    {"own-record-quorum", Mutant::ownRecordQuorum},
+    {"state-not-compared", Mutant::stateNotCompared},
     {"empty-disk-votes", Mutant::emptyDiskVotes},
-    {"backup-breaks-promise", Mutant::backupBreaksPromise},
-    {"one-step-change", Mutant::oneStepChange},
-    {"lost-disk-not-told", Mutant::lostDiskNotTold},
-    {"base-is-newest-record", Mutant::baseIsNewestRecord},
-    {"base-is-own-data", Mutant::baseIsOwnData},
-    {"renewal-not-weighed", Mutant::renewalNotWeighed},
+    {"backup-ignores-vote", Mutant::backupIgnoresVote},
+    {"single-record-change", Mutant::singleRecordChange},
+    {"disk-loss-not-reported", Mutant::diskLossNotReported},
+    {"previous-is-newest-record", Mutant::previousIsNewestRecord},
+    {"previous-is-own-data", Mutant::previousIsOwnData},
+    {"backup-change-skips-check", Mutant::backupChangeSkipsCheck},
     {"stale-heartbeat", Mutant::staleHeartbeat},
-    {"observer-refuses", Mutant::observerRefuses},
-    {"no-doubt-kept", Mutant::noDoubtKept},
-    {"silent-not-lost", Mutant::silentNotLost},
+    {"observer-does-not-vote", Mutant::observerDoesNotVote},
+    {"undecided-dropped", Mutant::undecidedDropped},
+    {"unresponsive-not-lost", Mutant::unresponsiveNotLost},
 };
 
-// The states seen, by their 64-bit hash, each with the hash of the one that it was first reached from.
-class SeenStates {
+// The visited states by their 64-bit hash, each with the hash of the state that it was first reached from.
+class VisitedStates {
  public:
-  explicit SeenStates(unsigned bits)
+  explicit VisitedStates(unsigned bits)
       : size_(std::size_t{1} << bits),
         hashes_(std::make_unique<std::atomic<std::uint64_t>[]>(size_)),
         parents_(std::make_unique<std::uint64_t[]>(size_)) {}
 
   bool add(std::uint64_t hash, std::uint64_t parent) {
-    for (std::size_t at = hash & (size_ - 1);; at = (at + 1) & (size_ - 1)) {
-      std::uint64_t there = hashes_[at].load(std::memory_order_relaxed);
-      if (there == hash) return false;
-      if (there != 0) continue;
-      if (hashes_[at].compare_exchange_strong(there, hash)) {
-        parents_[at] = parent;
+    for (std::size_t slot = hash & (size_ - 1);; slot = (slot + 1) & (size_ - 1)) {
+      std::uint64_t stored = hashes_[slot].load(std::memory_order_relaxed);
+      if (stored == hash) return false;
+      if (stored != 0) continue;
+      if (hashes_[slot].compare_exchange_strong(stored, hash)) {
+        parents_[slot] = parent;
         count_.fetch_add(1, std::memory_order_relaxed);
         return true;
       }
-      if (there == hash) return false;
+      if (stored == hash) return false;
     }
   }
   std::uint64_t parentOf(std::uint64_t hash) const {
-    for (std::size_t at = hash & (size_ - 1); hashes_[at] != 0; at = (at + 1) & (size_ - 1))
-      if (hashes_[at] == hash) return parents_[at];
+    for (std::size_t slot = hash & (size_ - 1); hashes_[slot] != 0; slot = (slot + 1) & (size_ - 1))
+      if (hashes_[slot] == hash) return parents_[slot];
     return 0;
   }
   std::size_t count() const { return count_; }
@@ -86,16 +86,16 @@
   std::atomic<std::size_t> count_ = 0;
 };
 
-// Encoded states, one after the other.
+// A sequence of encoded states.
 struct Frontier {
   std::vector<std::uint8_t> bytes;
   std::vector<std::size_t> starts;
 
-  void add(const std::vector<std::uint8_t>& text) {
+  void add(const std::vector<std::uint8_t>& encoded) {
     starts.push_back(bytes.size());
-    bytes.insert(bytes.end(), text.begin(), text.end());
+    bytes.insert(bytes.end(), encoded.begin(), encoded.end());
   }
-  State at(std::size_t index, unsigned nodes) const {
+  State stateAt(std::size_t index, unsigned nodes) const {
     const std::size_t end = index + 1 < starts.size() ? starts[index + 1] : bytes.size();
     return decode(bytes.data() + starts[index], end - starts[index], nodes);
   }
@@ -104,7 +104,7 @@
 struct Violation {
   State from;
   Action action;
-  std::string broken;
+  std::string rule;
 };
 
 class Search {
@@ -113,10 +113,10 @@
       : options_(options),
         nodes_(options.bounds.nodes()),
         rules_(options.bounds, kMutants.at(options.mutant)),
-        seen_(options.bits),
+        visited_(options.bits),
         end_(Clock::now() + std::chrono::seconds(options.seconds)) {}
 
-  // False: not as expected.
+  // Returns false if the result is not the expected one.
   bool run() {
     const auto began = Clock::now();
     std::vector<Frontier> level(1);
@@ -126,9 +126,9 @@
       ++depth_;
     }
     const double took = std::chrono::duration<double>(Clock::now() - began).count();
-    const char* const end = violation_ ? "broken" : stopped_ ? "stopped" : "exhausted";
-    std::printf("%s at depth %u: %zu states, %.1f s\n", end, depth_, seen_.count(), took);
-    if (violation_) tell();
+    const char* const end = violation_ ? "violation found" : stopped_ ? "stopped" : "exhausted";
+    std::printf("%s at depth %u: %zu states, %.1f s\n", end, depth_, visited_.count(), took);
+    if (violation_) printTrace();
     if (options_.expected == "breaks") return violation_.has_value();
     return !violation_ && (!stopped_ || options_.expected == "bounded");
   }
@@ -140,13 +140,15 @@
     return true;
   }
 
-  State canonical(const State& state) const { return renamed(state, canonicalNames(state, nodes_), nodes_); }
+  State canonical(const State& state) const {
+    return permuted(state, canonicalIndexes(state, nodes_), nodes_);
+  }
 
   void addInitial(Frontier& frontier) {
-    std::vector<std::uint8_t> text;
-    encode(canonical(rules_.initial()), nodes_, text);
-    seen_.add(hashOf(text), 0);
-    frontier.add(text);
+    std::vector<std::uint8_t> encoded;
+    encode(canonical(rules_.initial()), nodes_, encoded);
+    visited_.add(hashOf(encoded), 0);
+    frontier.add(encoded);
   }
 
   std::vector<Frontier> nextLevel(const std::vector<Frontier>& level) {
@@ -163,72 +165,73 @@
 
   void expand(const Frontier& from, std::atomic<std::size_t>& taken, Frontier& to) {
     constexpr std::size_t kBatch = 64;
-    std::vector<std::uint8_t> text;
+    std::vector<std::uint8_t> encoded;
     while (!stopped_ && !found_) {
       const std::size_t begin = taken.fetch_add(kBatch);
       if (begin >= from.starts.size()) return;
       for (std::size_t i = begin; i < std::min(begin + kBatch, from.starts.size()); ++i)
-        expandOne(from.at(i, nodes_), text, to);
-      if (seen_.isFull() || Clock::now() > end_) stopped_ = true;
+        expandOne(from.stateAt(i, nodes_), encoded, to);
+      if (visited_.isFull() || Clock::now() > end_) stopped_ = true;
     }
   }
 
-  void expandOne(const State& state, std::vector<std::uint8_t>& text, Frontier& to) {
-    encode(state, nodes_, text);
-    const std::uint64_t parent = hashOf(text);
-    rules_.successors(state, [&](const State& next, const Action& action, const char* broken) {
-      if (broken) return note({state, action, broken});
-      encode(canonical(next), nodes_, text);
-      if (!seen_.add(hashOf(text), parent)) return;
-      to.add(text);
-      if (options_.choice && !rules_.canAlwaysChoose(next))
-        note({state, action, "the members that are left cannot choose a primary"});
+  void expandOne(const State& state, std::vector<std::uint8_t>& encoded, Frontier& to) {
+    encode(state, nodes_, encoded);
+    const std::uint64_t parent = hashOf(encoded);
+    rules_.successors(state, [&](const State& next, const Action& action, const char* violation) {
+      if (violation) return recordViolation({state, action, violation});
+      encode(canonical(next), nodes_, encoded);
+      if (!visited_.add(hashOf(encoded), parent)) return;
+      to.add(encoded);
+      if (options_.checksElectability && !rules_.isAlwaysElectable(next))
+        recordViolation({state, action, "the remaining members cannot elect a primary"});
     });
   }
 
-  void note(Violation violation) {
+  void recordViolation(Violation violation) {
     const std::lock_guard lock(mutex_);
     found_ = true;
     if (!violation_) violation_ = std::move(violation);
   }
 
-  // The way to the violation, played once more; the names stay those of the start.
-  void tell() const {
-    std::vector<std::uint8_t> text;
-    encode(violation_->from, nodes_, text);
+  // Replays and prints the trace to the violation. Nodes keep the indexes that they have in the first state.
+  void printTrace() const {
+    std::vector<std::uint8_t> encoded;
+    encode(violation_->from, nodes_, encoded);
     std::vector<std::uint64_t> path;
-    for (std::uint64_t hash = hashOf(text); hash != 0; hash = seen_.parentOf(hash)) path.push_back(hash);
+    for (std::uint64_t hash = hashOf(encoded); hash != 0; hash = visited_.parentOf(hash))
+      path.push_back(hash);
 
     State state = rules_.initial();
-    Names names = canonicalNames(state, nodes_);
-    state = renamed(state, names, nodes_);
-    Names originals{};
-    for (unsigned i = 0; i < nodes_; ++i) originals[names[i]] = static_cast<std::uint8_t>(i);
+    NodeIndexes indexes = canonicalIndexes(state, nodes_);
+    state = permuted(state, indexes, nodes_);
+    NodeIndexes originals{};
+    for (unsigned i = 0; i < nodes_; ++i) originals[indexes[i]] = static_cast<std::uint8_t>(i);
     for (std::size_t step = path.size() - 1; step-- > 0;) {
       std::optional<State> found;
       rules_.successors(state, [&](const State& next, const Action& action, const char*) {
         if (found) return;
-        encode(canonical(next), nodes_, text);
-        if (hashOf(text) != path[step]) return;
+        encode(canonical(next), nodes_, encoded);
+        if (hashOf(encoded) != path[step]) return;
         std::printf("  %s\n", describe(action, originals).c_str());
-        names = canonicalNames(next, nodes_);
+        indexes = canonicalIndexes(next, nodes_);
         found = canonical(next);
       });
-      if (!found) return (void)std::printf("  (the trace cannot be played)\n");
+      if (!found) return (void)std::printf("  (the trace cannot be replayed)\n");
       state = *found;
-      const Names before = originals;
-      for (unsigned i = 0; i < nodes_; ++i) originals[names[i]] = before[i];
+      const NodeIndexes before = originals;
+      for (unsigned i = 0; i < nodes_; ++i) originals[indexes[i]] = before[i];
     }
-    std::printf("  %s: %s\n", describe(violation_->action, originals).c_str(), violation_->broken.c_str());
+    std::printf("  %s: %s\n", describe(violation_->action, originals).c_str(), violation_->rule.c_str());
   }
 
   const Options options_;
   const unsigned nodes_;
   const Rules rules_;
-  SeenStates seen_;
+  VisitedStates visited_;
   const Clock::time_point end_;
   unsigned depth_ = 0;
-  std::atomic<bool> stopped_ = false;  // out of time or of places
+  std::atomic<bool> stopped_ = false;  // out of time or of slots
   std::atomic<bool> found_ = false;
   std::mutex mutex_;
   std::optional<Violation> violation_;
@@ -240,17 +243,17 @@
       {"members", &out.bounds.members},
       {"spares", &out.bounds.spares},
       {"losses", &out.bounds.losses},
-      {"rounds", &out.bounds.rounds},
-      {"places", &out.bounds.places},
+      {"terms", &out.bounds.terms},
+      {"steps", &out.bounds.steps},
       {"changes", &out.bounds.changes},
-      {"wipes", &out.bounds.wipes},
-      {"promises", &out.bounds.vainPromises},
+      {"disk-losses", &out.bounds.diskLosses},
+      {"unwon-votes", &out.bounds.unwonVotes},
       {"seconds", &out.seconds},
       {"threads", &out.threads},
       {"bits", &out.bits},
-      {"choice", &out.choice},
-      {"rest", &out.bounds.atRest},
-      {"renewals", &out.bounds.renewals},
+      {"electability", &out.checksElectability},
+      {"established", &out.bounds.startsEstablished},
+      {"backup-changes", &out.bounds.backupChanges},
       {"replacements", &out.bounds.replacements},
   };
   for (int i = 1; i < count; ++i) {
@@ -267,7 +270,7 @@
     else
       return std::nullopt;
   }
-  if (out.bounds.nodes() > kMostNodes || out.bounds.rounds >= kMostRounds || out.bounds.places >= kPlaces ||
+  if (out.bounds.nodes() > kMaxNodes || out.bounds.terms >= kMaxTerms || out.bounds.steps >= kSteps ||
       out.bounds.changes > 3)
     return std::nullopt;
   return out;
--- a/tests/model/model_state.hpp
+++ b/tests/model/model_state.hpp
@@ -1,6 +1,6 @@
-// The state of the core's agreement as the search sees it: what each member keeps on its disk, and what each
-// record's primary has said. No clocks and no message queues: what was said stays said, and may be taken at
-// any later time or never.
+// The state of the consensus core in the model search: the disk of each node, and the messages that
+// each record's primary has sent. There are no clocks and no message queues: a message that was sent can be
+// delivered at any later time or never.
 #pragma once
 
 #include <algorithm>
@@ -13,134 +13,135 @@
 
 namespace model {
 
-using Mask = std::uint8_t;   // a set of nodes, a bit each
-using Epoch = std::uint8_t;  // round * kPlaces + place; 0: before the first record
+using Mask = std::uint8_t;   // a set of nodes, one bit per node
+using Epoch = std::uint8_t;  // term * kSteps + step; 0: before the first record
 
-constexpr unsigned kMostNodes = 6;
-constexpr unsigned kPlaces = 4;  // of a round: its vote, and three changes that its winner makes without one
-constexpr unsigned kMostRounds = 6;
-constexpr unsigned kMostEpochs = kMostRounds * kPlaces;
+constexpr unsigned kMaxNodes = 6;
+constexpr unsigned kSteps =
+    4;  // per term: the election, and three changes that the winner makes without a vote
+constexpr unsigned kMaxTerms = 6;
+constexpr unsigned kMaxEpochs = kMaxTerms * kSteps;
 constexpr std::uint8_t kNobody = 7;
 
 constexpr Mask bit(unsigned node) { return static_cast<Mask>(1u << node); }
 constexpr bool has(Mask mask, unsigned node) { return ((mask >> node) & 1u) != 0; }
 constexpr unsigned count(Mask mask) { return static_cast<unsigned>(std::popcount(mask)); }
 constexpr bool isMajority(Mask of, Mask nodes) { return 2 * count(nodes & of) > count(of); }
-constexpr unsigned roundOf(Epoch epoch) { return epoch / kPlaces; }
-constexpr Epoch firstOf(unsigned round) { return static_cast<Epoch>(round * kPlaces); }
+constexpr unsigned termOf(Epoch epoch) { return epoch / kSteps; }
+constexpr Epoch firstEpochOf(unsigned term) { return static_cast<Epoch>(term * kSteps); }
 
-// One node's disk, and whether it leads at this moment.
+// The disk of a node, and whether the node is a primary.
 struct Node {
-  Epoch promised = 0;
-  std::uint8_t promisedTo = kNobody;
+  Epoch votedEpoch = 0;
+  std::uint8_t votedFor = kNobody;
   Epoch record = 0;
-  Epoch dataEpoch = 0;         // the epoch that its copy of the state is complete for
-  std::uint8_t data = 0;       // the changes in that copy, a bit each
-  Epoch forgotten = 0;         // what it kept under records up to this one is lost
-  std::uint8_t isEmpty = 0;    // its disk was lost (or is new), and it has taken no record since
-  std::uint8_t isPrimary = 0;  // memory only
+  Epoch dataEpoch = 0;            // the epoch for which `data` is complete
+  std::uint8_t data = 0;          // the changes in the stored state, one bit per change
+  Epoch lostEpoch = 0;            // after a disk loss: state stored under records up to this epoch is lost
+  std::uint8_t hasEmptyDisk = 0;  // the disk was lost or is new, and no record is accepted since
+  std::uint8_t isPrimary = 0;     // in memory only
 };
 
-// What a primary has said under one epoch. The fields from `took` on are that primary's memory.
+// A record and the progress of its epoch. The fields from `accepted` on are in the memory of the primary.
 struct Record {
   std::uint8_t exists = 0;
   std::uint8_t primary = kNobody;
-  Mask backups = 0, members = 0, leaving = 0;
-  Epoch base = 0;               // the state that it started from is complete for this epoch
-  std::uint32_t unproved = 0;   // later epochs, a bit each, in which something may have been acknowledged
-  Mask took = 0;                // who has said that it keeps this record
-  Mask kept = 0;                // which backups have said that they keep `data`
-  std::uint8_t data = 0;        // the primary's changes
-  std::uint8_t settled = 0;     // the record holds, and so does `data`
-  std::uint8_t wasSettled = 0;  // it has held, with an earlier `data` maybe
+  Mask backups = 0, members = 0, oldMembers = 0;
+  Epoch previous = 0;            // the epoch for which the state that it started from is complete
+  std::uint32_t undecided = 0;   // later epochs, one bit each, in which a change may have been committed
+  Mask accepted = 0;             // the nodes that have acknowledged this record
+  Mask replicated = 0;           // the backups that have acknowledged `data`
+  std::uint8_t data = 0;         // the changes in the primary's state
+  std::uint8_t committed = 0;    // the epoch is established, and `data` is committed
+  std::uint8_t established = 0;  // the epoch is established, perhaps with an earlier `data`
 };
 
 struct State {
-  std::array<Node, kMostNodes> nodes;
-  std::array<Record, kMostEpochs> records;
-  std::uint8_t acknowledged = 0;  // changes
-  std::uint8_t proposed = 0;      // how many changes there were
-  std::uint8_t wipes = 0;         // how many disks were lost
-  std::uint8_t vainPromises = 0;
-  std::uint8_t renewals = 0;      // of the backups
-  std::uint8_t replacements = 0;  // of a member
-  std::uint8_t roundsWon = 0;
-  Mask lost = 0;         // nodes that count as lost since the core was whole last
-  Mask core = 0;         // the members when it was whole last
-  Epoch newestHeld = 0;  // the newest epoch that was settled, and its changes then
-  std::uint8_t heldData = 0;
+  std::array<Node, kMaxNodes> nodes;
+  std::array<Record, kMaxEpochs> records;
+  std::uint8_t acknowledged = 0;  // the changes acknowledged to operators, one bit per change
+  std::uint8_t proposed = 0;      // number of changes
+  std::uint8_t diskLosses = 0;    // number of lost disks
+  std::uint8_t unwonVotes = 0;
+  std::uint8_t backupChanges = 0;  // number of changes of the backups
+  std::uint8_t replacements = 0;   // number of changes of the members
+  std::uint8_t termsWon = 0;
+  Mask lost = 0;                // nodes that count as lost since the core was last healthy
+  Mask healthyMembers = 0;      // the members when the core was last healthy
+  Epoch newestEstablished = 0;  // the newest established epoch, and its changes at that time
+  std::uint8_t establishedData = 0;
 };
 
-// What is neither a node's nor a record's.
+// Visits each field of the state that belongs neither to a node nor to a record.
 template <class AnyState, class Visit>
 void eachScalar(AnyState& state, const Visit& visit) {
   visit(state.acknowledged);
   visit(state.proposed);
-  visit(state.wipes);
-  visit(state.vainPromises);
-  visit(state.renewals);
+  visit(state.diskLosses);
+  visit(state.unwonVotes);
+  visit(state.backupChanges);
   visit(state.replacements);
-  visit(state.roundsWon);
+  visit(state.termsWon);
   visit(state.lost);
-  visit(state.core);
-  visit(state.newestHeld);
-  visit(state.heldData);
+  visit(state.healthyMembers);
+  visit(state.newestEstablished);
+  visit(state.establishedData);
 }
 
-// As few bytes as tell two states apart; `text` is cleared first.
-inline void encode(const State& state, unsigned nodes, std::vector<std::uint8_t>& text) {
-  text.clear();
+// Writes a short encoding of the state, which is unique per state, to `encoded`, which is cleared first.
+inline void encode(const State& state, unsigned nodes, std::vector<std::uint8_t>& encoded) {
+  encoded.clear();
   for (unsigned i = 0; i < nodes; ++i) {
     const Node& node = state.nodes[i];
-    const std::uint8_t flags =
-        static_cast<std::uint8_t>(node.promisedTo | node.data << 3 | node.isEmpty << 6 | node.isPrimary << 7);
-    text.insert(text.end(), {node.promised, node.record, node.dataEpoch, node.forgotten, flags});
+    const std::uint8_t flags = static_cast<std::uint8_t>(node.votedFor | node.data << 3 |
+                                                         node.hasEmptyDisk << 6 | node.isPrimary << 7);
+    encoded.insert(encoded.end(), {node.votedEpoch, node.record, node.dataEpoch, node.lostEpoch, flags});
   }
-  eachScalar(state, [&](std::uint8_t value) { text.push_back(value); });
-  for (unsigned epoch = 0; epoch < kMostEpochs; ++epoch) {
+  eachScalar(state, [&](std::uint8_t value) { encoded.push_back(value); });
+  for (unsigned epoch = 0; epoch < kMaxEpochs; ++epoch) {
     const Record& record = state.records[epoch];
     if (!record.exists) continue;
     const std::uint8_t flags = static_cast<std::uint8_t>(record.primary | record.data << 3 |
-                                                         record.settled << 6 | record.wasSettled << 7);
-    text.insert(
-        text.end(),
-        {static_cast<std::uint8_t>(epoch), record.backups, record.members, record.leaving, record.base,
-         record.took, record.kept, flags, static_cast<std::uint8_t>(record.unproved),
-         static_cast<std::uint8_t>(record.unproved >> 8), static_cast<std::uint8_t>(record.unproved >> 16)});
+                                                         record.committed << 6 | record.established << 7);
+    encoded.insert(encoded.end(), {static_cast<std::uint8_t>(epoch), record.backups, record.members,
+                                   record.oldMembers, record.previous, record.accepted, record.replicated,
+                                   flags, static_cast<std::uint8_t>(record.undecided),
+                                   static_cast<std::uint8_t>(record.undecided >> 8),
+                                   static_cast<std::uint8_t>(record.undecided >> 16)});
   }
 }
 
-inline State decode(const std::uint8_t* text, std::size_t size, unsigned nodes) {
+inline State decode(const std::uint8_t* encoded, std::size_t size, unsigned nodes) {
   State state;
-  const std::uint8_t* const end = text + size;
+  const std::uint8_t* const end = encoded + size;
   for (unsigned i = 0; i < nodes; ++i) {
     Node& node = state.nodes[i];
-    node.promised = text[0];
-    node.record = text[1];
-    node.dataEpoch = text[2];
-    node.forgotten = text[3];
-    node.promisedTo = text[4] & 7;
-    node.data = (text[4] >> 3) & 7;
-    node.isEmpty = (text[4] >> 6) & 1;
-    node.isPrimary = text[4] >> 7;
-    text += 5;
+    node.votedEpoch = encoded[0];
+    node.record = encoded[1];
+    node.dataEpoch = encoded[2];
+    node.lostEpoch = encoded[3];
+    node.votedFor = encoded[4] & 7;
+    node.data = (encoded[4] >> 3) & 7;
+    node.hasEmptyDisk = (encoded[4] >> 6) & 1;
+    node.isPrimary = encoded[4] >> 7;
+    encoded += 5;
   }
-  eachScalar(state, [&](std::uint8_t& value) { value = *text++; });
-  for (; text < end; text += 11) {
-    Record& record = state.records[text[0]];
+  eachScalar(state, [&](std::uint8_t& value) { value = *encoded++; });
+  for (; encoded < end; encoded += 11) {
+    Record& record = state.records[encoded[0]];
     record.exists = 1;
-    record.backups = text[1];
-    record.members = text[2];
-    record.leaving = text[3];
-    record.base = text[4];
-    record.took = text[5];
-    record.kept = text[6];
-    record.primary = text[7] & 7;
-    record.data = (text[7] >> 3) & 7;
-    record.settled = (text[7] >> 6) & 1;
-    record.wasSettled = text[7] >> 7;
-    record.unproved =
-        text[8] | static_cast<std::uint32_t>(text[9]) << 8 | static_cast<std::uint32_t>(text[10]) << 16;
+    record.backups = encoded[1];
+    record.members = encoded[2];
+    record.oldMembers = encoded[3];
+    record.previous = encoded[4];
+    record.accepted = encoded[5];
+    record.replicated = encoded[6];
+    record.primary = encoded[7] & 7;
+    record.data = (encoded[7] >> 3) & 7;
+    record.committed = (encoded[7] >> 6) & 1;
+    record.established = encoded[7] >> 7;
+    record.undecided = encoded[8] | static_cast<std::uint32_t>(encoded[9]) << 8 |
+                       static_cast<std::uint32_t>(encoded[10]) << 16;
   }
   return state;
 }
@@ -150,82 +151,84 @@
   return hash ^ (hash >> 29);
 }
 
-inline std::uint64_t hashOf(const std::vector<std::uint8_t>& text) {
-  std::uint64_t hash = 0x51ED270B0A1F39C1ull + text.size();
-  for (std::size_t at = 0; at < text.size(); at += 8) {
+inline std::uint64_t hashOf(const std::vector<std::uint8_t>& encoded) {
+  std::uint64_t hash = 0x51ED270B0A1F39C1ull + encoded.size();
+  for (std::size_t at = 0; at < encoded.size(); at += 8) {
     std::uint64_t word = 0;
-    std::memcpy(&word, text.data() + at, std::min<std::size_t>(8, text.size() - at));
+    std::memcpy(&word, encoded.data() + at, std::min<std::size_t>(8, encoded.size() - at));
     hash = mix(hash, word);
   }
   hash = mix(hash, hash >> 32);
   return hash == 0 ? 1 : hash;
 }
 
-using Names = std::array<std::uint8_t, kMostNodes>;  // the new name of each node
+using NodeIndexes = std::array<std::uint8_t, kMaxNodes>;  // the new index of each node
 
-inline Mask renamed(Mask mask, const Names& names, unsigned nodes) {
+inline Mask permuted(Mask mask, const NodeIndexes& indexes, unsigned nodes) {
   Mask out = 0;
   for (unsigned i = 0; i < nodes; ++i)
-    if (has(mask, i)) out = static_cast<Mask>(out | bit(names[i]));
+    if (has(mask, i)) out = static_cast<Mask>(out | bit(indexes[i]));
   return out;
 }
 
-inline std::uint8_t renamedNode(std::uint8_t node, const Names& names) {
-  return node == kNobody ? kNobody : names[node];
+inline std::uint8_t permutedNode(std::uint8_t node, const NodeIndexes& indexes) {
+  return node == kNobody ? kNobody : indexes[node];
 }
 
-inline State renamed(const State& state, const Names& names, unsigned nodes) {
+inline State permuted(const State& state, const NodeIndexes& indexes, unsigned nodes) {
   State out = state;
   for (unsigned i = 0; i < nodes; ++i) {
-    out.nodes[names[i]] = state.nodes[i];
-    out.nodes[names[i]].promisedTo = renamedNode(state.nodes[i].promisedTo, names);
+    out.nodes[indexes[i]] = state.nodes[i];
+    out.nodes[indexes[i]].votedFor = permutedNode(state.nodes[i].votedFor, indexes);
   }
   for (Record& record : out.records) {
     if (!record.exists) continue;
-    record.primary = renamedNode(record.primary, names);
-    record.backups = renamed(record.backups, names, nodes);
-    record.members = renamed(record.members, names, nodes);
-    record.leaving = renamed(record.leaving, names, nodes);
-    record.took = renamed(record.took, names, nodes);
-    record.kept = renamed(record.kept, names, nodes);
+    record.primary = permutedNode(record.primary, indexes);
+    record.backups = permuted(record.backups, indexes, nodes);
+    record.members = permuted(record.members, indexes, nodes);
+    record.oldMembers = permuted(record.oldMembers, indexes, nodes);
+    record.accepted = permuted(record.accepted, indexes, nodes);
+    record.replicated = permuted(record.replicated, indexes, nodes);
   }
-  out.lost = renamed(state.lost, names, nodes);
-  out.core = renamed(state.core, names, nodes);
+  out.lost = permuted(state.lost, indexes, nodes);
+  out.healthyMembers = permuted(state.healthyMembers, indexes, nodes);
   return out;
 }
 
-// The names under which states that differ only in who is who mostly look the same: nodes sorted by all that
-// does not depend on names. A tie that hides a difference costs a state more, never one that is missed.
-inline Names canonicalNames(const State& state, unsigned nodes) {
-  std::array<std::uint64_t, kMostNodes> marks{};
+// Returns indexes under which most states that differ only by a permutation of the nodes become equal: the
+// nodes are sorted by all their properties that do not depend on indexes. Nodes that differ but compare equal
+// cost an additional state; no state is missed.
+inline NodeIndexes canonicalIndexes(const State& state, unsigned nodes) {
+  std::array<std::uint64_t, kMaxNodes> fingerprints{};
   for (unsigned i = 0; i < nodes; ++i) {
     const Node& node = state.nodes[i];
-    std::uint64_t mark =
-        mix(1, node.promised | node.record << 8 | node.dataEpoch << 16 | node.forgotten << 24);
-    mark = mix(mark, node.data | node.isEmpty << 4 | node.isPrimary << 5 | has(state.lost, i) << 6 |
-                         has(state.core, i) << 7 | (node.promisedTo == i) << 8);
-    for (unsigned epoch = 0; epoch < kMostEpochs; ++epoch) {
+    std::uint64_t fingerprint =
+        mix(1, node.votedEpoch | node.record << 8 | node.dataEpoch << 16 | node.lostEpoch << 24);
+    fingerprint =
+        mix(fingerprint, node.data | node.hasEmptyDisk << 4 | node.isPrimary << 5 | has(state.lost, i) << 6 |
+                             has(state.healthyMembers, i) << 7 | (node.votedFor == i) << 8);
+    for (unsigned epoch = 0; epoch < kMaxEpochs; ++epoch) {
       const Record& record = state.records[epoch];
       if (!record.exists) continue;
-      mark = mix(mark, epoch << 8 | (record.primary == i) << 5 | has(record.backups, i) << 4 |
-                           has(record.members, i) << 3 | has(record.leaving, i) << 2 |
-                           has(record.took, i) << 1 | has(record.kept, i));
+      fingerprint = mix(fingerprint, epoch << 8 | (record.primary == i) << 5 | has(record.backups, i) << 4 |
+                                         has(record.members, i) << 3 | has(record.oldMembers, i) << 2 |
+                                         has(record.accepted, i) << 1 | has(record.replicated, i));
     }
-    marks[i] = mark;
+    fingerprints[i] = fingerprint;
   }
-  const auto first = marks;
+  const auto first = fingerprints;
   for (unsigned i = 0; i < nodes; ++i) {
-    const std::uint8_t to = state.nodes[i].promisedTo;
-    if (to != kNobody) marks[i] = mix(marks[i], first[to]);
+    const std::uint8_t to = state.nodes[i].votedFor;
+    if (to != kNobody) fingerprints[i] = mix(fingerprints[i], first[to]);
   }
-  Names names{};
+  NodeIndexes indexes{};
   for (unsigned i = 0; i < nodes; ++i) {
-    unsigned place = 0;
+    unsigned rank = 0;
     for (unsigned j = 0; j < nodes; ++j)
-      if (marks[j] < marks[i] || (marks[j] == marks[i] && j < i)) ++place;
-    names[i] = static_cast<std::uint8_t>(place);
+      if (fingerprints[j] < fingerprints[i] || (fingerprints[j] == fingerprints[i] && j < i)) ++rank;
+    indexes[i] = static_cast<std::uint8_t>(rank);
   }
-  return names;
+  return indexes;
 }
 
 }  // namespace model
