--- a/src/consensus/replica_membership.cpp
+++ b/src/consensus/replica_membership.cpp
@@ -55,8 +55,8 @@
       std::count_if(record.members.begin(), record.members.end(), [&](const NodeId& member) {
         return member != self_ && now - lastContactAt(member) >= timing_.backupTimeout;
       }));
-  if (unresponsive > timing_.toleratedLosses)
-    return false;  // this node itself is or was partitioned, more likely
+  // More likely, this node itself is or was partitioned.
+  if (unresponsive > timing_.toleratedLosses) return false;
   const unsigned needed = std::max(1u, timing_.toleratedLosses - unresponsive);
   if (backups == record.backups || backups.size() < std::min<std::size_t>(needed, record.backups.size()))
     return false;
--- a/src/consensus/state_store.cpp
+++ b/src/consensus/state_store.cpp
@@ -19,7 +19,7 @@
 
 using nlohmann::json;
 
-constexpr const char* kMeta = "meta";  // the whole state except the configuration, as JSON
+constexpr const char* kMeta = "meta";  // as JSON: all but the configuration and the accepted changes
 constexpr const char* kBody = "body";  // the configuration
 // Prefix of the keys of accepted changes, one key per change: the prefix and the revision in 16 hexadecimal
 // digits. The keys are thus ordered by revision, and a write adds only new changes. The value is the digest.
@@ -229,8 +229,8 @@
 }
 
 bool StateStore::write(const DurableState& durable) {
-  if (failed_)
-    return false;  // a record after a failed write may be misaligned in LevelDB's log and unreadable
+  // After a failed write LevelDB's log may be misaligned, and later records could not be read back.
+  if (failed_) return false;
   const auto& body = durable.state.body;
   const bool isNewBody = body && body != writtenBody_ && (!writtenBody_ || *body != *writtenBody_);
   leveldb::WriteBatch batch;
