--- a/tests/model/core.pml
+++ b/tests/model/core.pml
@@ -52,8 +52,8 @@
 
 /* The record of an epoch, and its acknowledgements. */
 byte primary[EPOCHS], backup[EPOCHS], previous[EPOCHS], members[EPOCHS], oldMembers[EPOCHS];
-byte accepted[EPOCHS];      /* the nodes that have accepted the record */
-byte replicatedData[EPOCHS];    /* the newest state acknowledged by the backup, as a set of changes */
+byte accepted[EPOCHS];         /* the nodes that have accepted the record */
+byte replicatedData[EPOCHS];   /* the newest state acknowledged by the backup, as a set of changes */
 bool isReplicated[EPOCHS];     /* whether the backup has acknowledged any state */
 
 /* The disk of a node. */
--- a/tests/model/model_rules.hpp
+++ b/tests/model/model_rules.hpp
@@ -20,8 +20,8 @@
   unsigned changes = 2;        // operators' changes, including the one acknowledged at the start
   unsigned diskLosses = 0;     // number of lost disks
   unsigned unwonVotes = 0;     // votes in elections that are not won
-  unsigned startsEstablished =
-      1;  // 1: starts with an established epoch; 0: the system starts for the first time with empty spares
+  // 1: starts with an established epoch; 0: the system starts for the first time, with empty spares.
+  unsigned startsEstablished = 1;
   unsigned nodes() const { return members + spares; }
   unsigned wantedMembers() const { return 2 * losses + 1; }
 };
@@ -38,8 +38,7 @@
   diskLossNotReported,     // 6: a backup that lost its disk reports that it never received the state
   previousIsNewestRecord,  // 7: `previous` is chosen as in commit 93759bf
   previousIsOwnData,       // `previous` is the epoch of the winner's state, established or not
-  backupChangeSkipsCheck,  // a primary's next record names the current epoch as `previous`, established or
-                           // not
+  backupChangeSkipsCheck,  // `previous` of a primary's next record is the current epoch, established or not
   staleHeartbeat,       // a node with an empty disk accepts the record of a primary whose lease has expired
   observerDoesNotVote,  // a node that is a member only by the candidate's record does not vote
   undecidedDropped,     // undecided epochs count as decided: `previous` is the epoch of the winner's state
--- a/tests/model/model_state.hpp
+++ b/tests/model/model_state.hpp
@@ -17,8 +17,7 @@
 using Epoch = std::uint8_t;  // term * kSteps + step; 0: before the first record
 
 constexpr unsigned kMaxNodes = 6;
-constexpr unsigned kSteps =
-    4;  // per term: the election, and three changes that the winner makes without a vote
+constexpr unsigned kSteps = 4;  // per term: the election, and three changes by the winner without a vote
 constexpr unsigned kMaxTerms = 6;
 constexpr unsigned kMaxEpochs = kMaxTerms * kSteps;
 constexpr std::uint8_t kNobody = 7;
