--- a/src/control/configuration_register.cpp
+++ b/src/control/configuration_register.cpp
@@ -7,9 +7,9 @@
 Verdict ConfigurationRegister::decide(const ReplicatedState& committed, ChangeRequest&& request) const {
   const Digest digest = sha256(request.body);
   if (committed.accepted.contains(digest)) return AlreadyAccepted{};
-  const auto read = parseConfiguration(request.body);
-  if (const auto* reason = std::get_if<std::string>(&read)) return Invalid{*reason};
-  const std::uint64_t revision = std::get<Configuration>(read).revision;
+  const auto parsed = parseConfiguration(request.body);
+  if (const auto* reason = std::get_if<std::string>(&parsed)) return Invalid{*reason};
+  const std::uint64_t revision = std::get<Configuration>(parsed).revision;
   if (revision <= request.baseRevision) return Invalid{"revision does not exceed the one it builds on"};
   if (committed.accepted.mayHaveForgotten(revision))
     return OutcomeUnknown{"a change of this revision may have been accepted too long ago to tell"};
--- a/src/control/configuration_register.hpp
+++ b/src/control/configuration_register.hpp
@@ -1,9 +1,10 @@
-// Decides on one change of the configuration: a compare-and-swap register whose value is the newest
-// configuration and whose condition is the revision that the change is based on. No socket, clock or disk.
+// Decides whether to accept a change of the configuration. The configuration is a compare-and-swap register:
+// a change is accepted if the revision that it is based on is the current one. Uses no socket, clock or disk.
 //
-// Each rejection is final. A change that is answered `Conflict` or `Invalid` was never accepted and never
-// will be, whichever copy of it arrives later: revisions only rise, so its condition cannot become true any
-// more. Where that is not certain the verdict is `OutcomeUnknown`.
+// Rejections are final. A change that was answered `Conflict` or `Invalid` has never been accepted and never
+// will be, even if a delayed copy of the request arrives later: revisions only rise, so the revision that it
+// is based on cannot become current again. If the register cannot be certain of that, it returns
+// `OutcomeUnknown`.
 #pragma once
 
 #include <cstddef>
@@ -17,24 +18,24 @@
 
 struct ChangeRequest {
   std::string body;                // the new configuration, MessagePack
-  std::uint64_t baseRevision = 0;  // the revision that it is based on; 0: there is none yet
+  std::uint64_t baseRevision = 0;  // revision that the change is based on; 0: no configuration exists yet
 };
 
-// To be proposed. The change counts only once `next` has been committed.
+// The change is valid. It takes effect only once `next` has been proposed and committed.
 struct Accept {
   ReplicatedState next;
 };
-// A change with this very body has been accepted before.
+// A change with an identical body has been accepted before.
 struct AlreadyAccepted {};
-// It is based on a revision that is no longer current.
+// The change is based on a revision that is no longer current.
 struct Conflict {
   std::uint64_t currentRevision = 0;
 };
-// It could not be accepted at any time.
+// The change is invalid whatever revision is current.
 struct Invalid {
   std::string reason;
 };
-// It may have been accepted before, or may be accepted later.
+// The change may have been accepted before, or may be accepted later.
 struct OutcomeUnknown {
   std::string reason;
 };
@@ -42,14 +43,14 @@
 
 class ConfigurationRegister {
  public:
-  // At ten changes a second, the most that was seen, these are the changes of the last 102 seconds; at 14,000
-  // a day those of the last 105 minutes. They take 40 KB.
+  // Covers the last 102 s at the peak rate of ten changes per second, and the last 105 minutes at 14,000
+  // changes per day. Takes 40 KB.
   static constexpr std::size_t kDefaultCapacity = 1024;
 
-  // `capacity`: how many accepted changes are kept to recognise repeated requests; at least one.
+  // `capacity`: number of accepted changes that are retained to recognise repeated requests; at least one.
   explicit ConfigurationRegister(std::size_t capacity = kDefaultCapacity) : capacity_(capacity) {}
 
-  // `committed` must be the newest committed state.
+  // Returns the verdict on `request`. `committed` must be the newest committed state.
   Verdict decide(const ReplicatedState& committed, ChangeRequest&& request) const;
 
  private:
--- a/src/control/configuration_service.cpp
+++ b/src/control/configuration_service.cpp
@@ -5,7 +5,7 @@
 namespace lilacmux {
 namespace {
 
-// The result of a verdict that leads to no proposal.
+// Returns the result for a verdict other than `Accept`.
 ChangeResult resultOf(const Verdict& verdict) {
   if (std::holds_alternative<AlreadyAccepted>(verdict)) return {ChangeOutcome::acknowledged, "taken already"};
   if (const auto* conflict = std::get_if<Conflict>(&verdict))
@@ -26,7 +26,7 @@
   processQueue(now, replica);
 }
 
-// One change at a time: the next is decided on against the state that the one before has left.
+// Processes one change at a time, because each is decided on against the state that the previous one left.
 void ConfigurationService::processQueue(Millis now, Replica& replica) {
   while (!queue_.empty() && !proposal_ && replica.canPropose(now)) {
     QueuedChange next = std::move(queue_.front());
@@ -36,8 +36,9 @@
   expireQueued(now);
 }
 
-// `now` is the moment at which the replica could write. A later one must not be used for the proposal: the
-// lease may have run out while the body was parsed, and a proposal that is not made is never answered.
+// `now` is the time for which canPropose() was true. A later time must not be used for the proposal: the
+// lease may have expired while the body was parsed, the replica would ignore the proposal, and the submitter
+// would never get a result.
 void ConfigurationService::decide(Millis now, Replica& replica, QueuedChange&& change) {
   Verdict verdict = register_.decide(replica.committed(), std::move(change.request));
   auto* accept = std::get_if<Accept>(&verdict);
@@ -66,7 +67,7 @@
   const std::optional<Callback> proposal = std::exchange(proposal_, std::nullopt);
   const ChangeResult result{ChangeOutcome::unavailable, "the primary has changed"};
   if (proposal) (*proposal)(result);
-  for (const QueuedChange& each : queue) each.callback(result);
+  for (const QueuedChange& change : queue) change.callback(result);
 }
 
 }  // namespace lilacmux
--- a/src/control/configuration_service.hpp
+++ b/src/control/configuration_service.hpp
@@ -1,11 +1,11 @@
-// Queue of configuration changes at one control node, independent of their transport. One change is in
-// progress at a time: ConfigurationRegister decides on it, Replica commits it, and its submitter is answered
-// once that commit is known.
+// Queue of configuration changes at one control node, independent of their transport. Processes one change at
+// a time: ConfigurationRegister decides on it, Replica commits it, and the submitter gets the result once the
+// commit is known.
 //
-// Nothing is acknowledged or rejected unless the replica may serve at that moment. A change that was proposed
-// but not committed when primacy was lost is answered `unavailable`: it may still take effect.
+// Acknowledges or rejects a change only while the replica holds the lease of the primary. A change that was
+// proposed but not committed when primacy was lost gets the result `unavailable`: it may still take effect.
 //
-// Not thread-safe: all calls, and the callbacks made from them, run on the thread of the caller.
+// Not thread-safe. Callbacks run on the thread of the caller.
 #pragma once
 
 #include <cstddef>
@@ -22,10 +22,10 @@
 
 enum class ChangeOutcome {
   acknowledged,
-  conflict,     // rejected for good: another version is current
-  invalid,      // rejected for good
-  unavailable,  // not known; to be sent again unchanged, to any node
-  notPrimary    // the same; another node is the primary
+  conflict,     // rejected permanently: another revision is current
+  invalid,      // rejected permanently
+  unavailable,  // outcome unknown; the operator should resend the change unchanged, to any node
+  notPrimary    // like `unavailable`, because another node is the primary
 };
 
 struct ChangeResult {
@@ -38,7 +38,7 @@
   using Callback = std::function<void(const ChangeResult&)>;
   struct Limits {
     std::size_t queueLength = 64;
-    Millis queueTimeout = 1000;  // operators turn to another node after a second without an answer
+    Millis queueTimeout = 1000;  // operators retry at another node after a second without an answer
   };
 
   explicit ConfigurationService(ConfigurationRegister changes = ConfigurationRegister())
@@ -46,19 +46,20 @@
   ConfigurationService(ConfigurationRegister changes, const Limits& limits)
       : register_(changes), limits_(limits) {}
 
-  // Calls `callback` once, before it returns or later; never, if the service is destroyed first.
+  // Queues a change. Calls `callback` once, before `submit` returns or later; never if the service is
+  // destroyed first.
   void submit(Millis now, Replica& replica, ChangeRequest&& request, Callback callback);
-  // Decides on queued changes as far as the replica can write, and expires those queued for too long. To be
-  // called whenever the replica may have become able to write, and regularly.
+  // Decides on queued changes while the replica can propose, and expires those queued for `queueTimeout`. To
+  // be called whenever the replica may have become able to propose, and regularly.
   void processQueue(Millis now, Replica& replica);
 
-  // To be called from the ReplicaHost methods of the same names.
+  // To be called when the replica reports these events to its ReplicaHost.
   void onCommitted();
   void onPrimacyLost();
 
-  // Whether an operator's change is proposed and not committed yet.
+  // Returns whether an operator's change has been proposed and is not committed yet.
   bool hasProposal() const { return proposal_.has_value(); }
-  // Changes acknowledged after a commit since the start of the process.
+  // Returns the number of changes that were committed and acknowledged since the start of the process.
   std::uint64_t acknowledgedCount() const { return acknowledgedCount_; }
 
  private:
@@ -74,7 +75,7 @@
   const ConfigurationRegister register_;
   const Limits limits_;
   std::deque<QueuedChange> queue_;
-  std::optional<Callback> proposal_;  // of the change that is proposed and not committed yet
+  std::optional<Callback> proposal_;  // callback of the change that is proposed and not committed yet
   std::uint64_t acknowledgedCount_ = 0;
 };
 
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -12,12 +12,13 @@
 using namespace std::chrono_literals;
 
 constexpr auto kTickInterval = 100ms;
-// Until then the last messages have been sent, and each gatekeeper has asked once more.
+// Leaves time to send the pending messages, and for each gatekeeper to send one more request.
 constexpr auto kDrainDelay = 350ms;
 
-const NodeSettings& checked(const NodeSettings& settings) {
+// Returns `settings`. Throws SettingsError if they lack what the control role requires.
+const NodeSettings& requireControlSettings(const NodeSettings& settings) {
   if (!settings.controlPlane)
-    throw SettingsError("listeners.controlPlane", "is missing, the control role needs it");
+    throw SettingsError("listeners.controlPlane", "is missing; the control role requires it");
   if (settings.seeds.empty()) throw SettingsError("seedNodes", "is empty");
   return settings;
 }
@@ -30,31 +31,32 @@
 
 ControlNode::ControlNode(boost::asio::io_context& io, const NodeSettings& settings, Log log)
     : io_(io),
-      settings_(checked(settings)),
+      settings_(requireControlSettings(settings)),
       log_(std::move(log)),
       self_(internalAddress(settings_)),
       discovery_(io, self_, settings_),
       relay_(io, self_, settings_, log_),
       member_(io, self_, settings_, discovery_, *this, log_),
       primary_(
-          io, settings_, [this] { processProposalsSoon(); }, log_),
+          io, settings_, [this] { postProcessProposals(); }, log_),
       follows_(self_, settings_.networkMbps, discovery_, primary_, relay_),
       internalApi_(discovery_, member_, follows_),
       operatorApi_(self_, settings_, {member_, configuration_, primary_, relay_, discovery_, internalApi_}),
       tickTimer_(io),
       drainTimer_(io) {
-  if (!settings_.dataDirectory) log_("no disk: keeps nothing, and shows operators the way to those that do");
+  if (!settings_.dataDirectory)
+    log_("no data directory: this node stores no state and redirects operators to other control nodes");
   member_.start();
   internalApi_.listen(io_, Endpoint(boost::asio::ip::make_address(settings_.address), controlPort(settings_)),
                       log_);
   operatorApi_.listen(io_);
-  follow();
+  startFollowing();
   tick();
 }
 
 ControlNode::~ControlNode() = default;
 
-void ControlNode::follow() {
+void ControlNode::startFollowing() {
   relay_.follow(member_.replica() ? RelayService::Mode::relay : RelayService::Mode::locator);
 }
 
@@ -63,8 +65,9 @@
   discovery_.setSeeds(seedNodes(settings_));
   member_.setSeeds(seedNodes(settings_));
   relay_.setSeeds(controlSeeds(settings_));
-  const bool hasMoved = primary_.setPlatform({settings.platform, settings.platformRatePerS});
-  log_(hasMoved ? "settings read: the platform's list has moved" : "settings read");
+  const bool addressChanged = primary_.setPlatform({settings.platform, settings.platformRatePerS});
+  log_(addressChanged ? "settings reloaded; the address of the platform API has changed"
+                      : "settings reloaded");
 }
 
 void ControlNode::drain(std::function<void()> done) {
@@ -93,7 +96,7 @@
 void ControlNode::onCommitted(const ReplicatedState& state) {
   primary_.apply(steadyMs(), member_.replica()->epoch(), relay_.changeLog(), state);
   configuration_.onCommitted();
-  processProposalsSoon();
+  postProcessProposals();
 }
 
 void ControlNode::onPrimacyLost() {
@@ -101,17 +104,17 @@
   configuration_.onPrimacyLost();
 }
 
-void ControlNode::onReplicaAvailable() { follow(); }
+void ControlNode::onReplicaAvailable() { startFollowing(); }
 
-// Operators' changes come first, names of grant holders after them: only one proposal can be pending.
+// Only one proposal can be pending. Operators' changes take precedence over names of grant holders.
 void ControlNode::processProposals() {
   Replica& replica = *member_.replica();
   configuration_.processQueue(steadyMs(), replica);
-  primary_.proposeHolders(steadyMs(), replica);
+  primary_.proposeGrantHolders(steadyMs(), replica);
 }
 
-// Not from within the replica's own calls.
-void ControlNode::processProposalsSoon() {
+// Defers the proposals, as they must not be made from within a call of the replica.
+void ControlNode::postProcessProposals() {
   boost::asio::post(io_, [this] { processProposals(); });
 }
 
--- a/src/control/control_node.hpp
+++ b/src/control/control_node.hpp
@@ -1,16 +1,16 @@
-// The control role: one member of the core, and the relay for the gatekeepers near it. Operators reach it
-// over HTTP; gatekeepers, relays and the other members over frames.
+// A process in the control role: a member of the core, and a relay for nearby gatekeepers. Operators reach it
+// over HTTP; gatekeepers, relays and the other members over frames (net/frame.hpp).
 //
-// This class wires the parts together, drives them by one timer and drains them:
-//   PeerDiscovery          who the other control processes and the core are
-//   CoreMember             the replica on its disk and its sockets
-//   PrimaryRole            what is done only while this node is the primary
-//   RelayService           the relay and the follower that feeds it
-//   ConfigurationService   operators' changes on their way to a commit
-//   FollowService          responses to follow requests
-//   InternalApi            listener for frames
-//   OperatorApi            listener for HTTP
-// It owns all of them. Everything runs on the thread of the io_context, which must outlive the node.
+// ControlNode owns, connects and drains these components, and drives them by one timer:
+//   PeerDiscovery          finds the other control processes and the core
+//   CoreMember             runs the replica, with its disk and its connections to the other members
+//   PrimaryRole            does the work that only the primary does
+//   RelayService           runs the relay and the follower that keeps it up to date
+//   ConfigurationService   queues operators' changes until they are committed
+//   FollowService          answers follow requests
+//   InternalApi            listens for frames
+//   OperatorApi            listens for HTTP
+// Everything runs on the thread of the io_context, which must outlive the node.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -34,13 +34,14 @@
  public:
   using Log = std::function<void(const std::string&)>;
 
-  // Throws SettingsError where the settings do not fit the role, std::runtime_error if it cannot listen.
+  // Throws SettingsError if the settings do not fit the role, std::runtime_error if a listener fails.
   ControlNode(boost::asio::io_context& io, const NodeSettings& settings, Log log);
   ~ControlNode() override;
 
-  // Applies the seeds and the platform's address and rate of newer settings; all else needs a restart.
+  // Applies the seeds and the platform's address and request rate; other settings need a restart.
   void reload(const NodeSettings& settings);
-  // Resigns, sends gatekeepers to other relays, finishes what is in flight, then calls `done`.
+  // Resigns as the primary, redirects gatekeepers to other relays, waits until pending messages have been
+  // sent, then calls `done`.
   void drain(std::function<void()> done);
 
  private:
@@ -49,10 +50,10 @@
   void onPrimacyLost() override;
   void onReplicaAvailable() override;
 
-  void follow();
+  void startFollowing();
   void tick();
   void processProposals();
-  void processProposalsSoon();
+  void postProcessProposals();
 
   boost::asio::io_context& io_;
   NodeSettings settings_;
--- a/src/control/control_status.cpp
+++ b/src/control/control_status.cpp
@@ -8,7 +8,7 @@
 namespace lilacmux {
 namespace {
 
-// How many members may be lost with a quorum left.
+// Returns how many members may fail while a quorum remains.
 std::size_t toleratedLosses(const EpochRecord& record) {
   return (std::max<std::size_t>(1, record.members.size()) - 1) / 2;
 }
--- a/src/control/control_status.hpp
+++ b/src/control/control_status.hpp
@@ -1,6 +1,6 @@
-// What a control node reports of itself to operators, and its two encodings: JSON for `lilacmux status`, and
-// the Prometheus text format. It holds names and numbers alone: no key, and nothing of a configuration's
-// body.
+// Status of a control node as reported to operators, with two encodings: JSON for `lilacmux status`, and the
+// Prometheus text format. Contains names and numbers only: no API key, and nothing from the body of a
+// configuration.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace lilacmux {
 
-// A node's part in the core.
+// Role of a node in the core.
 enum class CoreRole {
   failed,  // its disk cannot be written
   primary,
@@ -25,11 +25,11 @@
 struct CoreStatus {
   CoreRole role = CoreRole::observer;
   bool isPrimary = false;
-  bool hasLease = false;  // as the primary, now
+  bool hasLease = false;  // whether the primary's lease is valid now
   bool hasFailed = false;
-  NodeId leader;  // empty: not known
+  NodeId leader;  // empty: unknown
   EpochRecord record;
-  std::uint64_t revision = 0;  // of the configuration on disk
+  std::uint64_t revision = 0;  // revision of the configuration on disk
 };
 
 struct RelayStatus {
@@ -40,19 +40,19 @@
 struct ControlStatus {
   std::string name;
   NodeId address;
-  unsigned machineFailures = 0;                // that the core is to tolerate, by the settings
-  std::optional<CoreStatus> core;              // none without a disk
-  std::optional<PrimaryRole::Status> primary;  // while this node is the primary
+  unsigned machineFailures = 0;                // number that the core must tolerate, from the settings
+  std::optional<CoreStatus> core;              // none if there is no replica
+  std::optional<PrimaryRole::Status> primary;  // none unless this node is the primary
   RelayStatus relay;
   // Since the start of the process.
-  std::uint64_t requests = 0;  // of gatekeepers, relays and members
+  std::uint64_t requests = 0;  // frames received from gatekeepers, relays and members
   std::uint64_t acknowledgedChanges = 0;
   std::uint64_t primacyCount = 0;
 };
 
-// One line of JSON, without the line end.
+// Returns one line of JSON without a newline.
 std::string statusJson(const ControlStatus& status);
-// In the Prometheus text format; docs/operations/figures.md has the names.
+// Returns the metrics in the Prometheus text format; docs/operations/figures.md lists their names.
 std::string metricsText(const ControlStatus& status);
 
 }  // namespace lilacmux
--- a/src/control/core_member.cpp
+++ b/src/control/core_member.cpp
@@ -51,13 +51,13 @@
   if (replica_) replica_->resign();
 }
 
-// A disk that failed may be writable again: the member starts anew from what is stored, as after a restart of
-// the process. LevelDB writes nothing more through an instance that has failed once.
+// A disk that failed may have become writable. The member then starts from the stored state, as after a
+// restart of the process: LevelDB rejects all writes through an instance after one has failed.
 void CoreMember::retryOpen() {
   if (steadyMs() < nextOpenAt_) return;
   const bool isFirst = !replica_;
   if (!tryOpen()) return;
-  log_("the disk is in use again");
+  log_("state store opened after a failure");
   if (isFirst) observer_.onReplicaAvailable();
 }
 
@@ -67,7 +67,7 @@
     open();
     return true;
   } catch (const std::exception& error) {
-    log_(std::string("the disk is still out of use: ") + error.what());
+    log_(std::string("cannot open the state store: ") + error.what());
     return false;
   }
 }
--- a/src/control/core_member.hpp
+++ b/src/control/core_member.hpp
@@ -1,12 +1,11 @@
-// One member of the core on its disk and its sockets: opens the state store, runs the replica on what is
-// stored there, and carries the replica's messages to the other members. What is decided, is decided in
-// Replica.
+// A member of the core: opens the state store, runs the replica on the stored state, and sends the replica's
+// messages to the other members. Replica makes all decisions.
 //
-// A disk that cannot be written leaves the process running: the store is opened anew about every second.
-// Until it has been opened for the first time, and in a process without a data directory, there is no
-// replica.
+// If the disk cannot be written, the process keeps running and the store is reopened about once a second.
+// There is no replica until the store has been opened for the first time, nor in a process without a data
+// directory.
 //
-// Runs on the thread of the io_context, which must outlive it, as must the peer discovery and the observer.
+// Runs on the thread of the io_context. The io_context, the peer discovery and the observer must outlive it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -30,33 +29,33 @@
  public:
   using Log = std::function<void(const std::string&)>;
 
-  // Called from within calls to this class or to its replica.
+  // Its methods are called from within calls to CoreMember or to its replica.
   class Observer {
    public:
     virtual ~Observer() = default;
-    // At the primary: this state is committed, on disk here and at each backup.
+    // At the primary: `state` is committed, that is, on disk here and at each backup.
     virtual void onCommitted(const ReplicatedState& state) = 0;
-    // This node is no longer the primary; whether a pending proposal will be committed is open.
+    // This node is no longer the primary; a pending proposal may or may not be committed.
     virtual void onPrimacyLost() = 0;
-    // There is a replica now, though the store could not be opened when the process started.
+    // The store, which could not be opened when the process started, is open: the replica exists now.
     virtual void onReplicaAvailable() = 0;
   };
 
   CoreMember(boost::asio::io_context& io, NodeId self, const NodeSettings& settings, PeerDiscovery& discovery,
              Observer& observer, Log log);
 
-  // Seeds of newer settings; they count when the store is opened the next time.
+  // Replaces the seeds; takes effect when the store is opened the next time.
   void setSeeds(std::vector<NodeId> seeds) { seeds_ = std::move(seeds); }
-  // Opens the store, where there is a data directory. A failure is logged and retried by `tick`.
+  // Opens the store if there is a data directory. A failure is logged and retried by `tick`.
   void start();
-  // Opens a store that has failed, tells peer discovery what the epoch record says and the replica where the
-  // core may be, and advances the replica unless the process is draining. To be called every 100 ms or so.
+  // Reopens a failed store, passes the view of the epoch record to peer discovery and the join contacts to
+  // the replica, and advances the replica unless the process is draining. To be called about every 100 ms.
   void tick(bool isDraining);
-  // Gives up primacy, so that a backup may take over at once.
+  // Gives up primacy to let a backup take over at once.
   void resign();
 
-  // Nothing without a disk, or while it has not been usable since the start. The replica is replaced when the
-  // store is opened anew: not to be kept.
+  // Returns null without a data directory, or if the store has not been opened since the start. The pointer
+  // must not be retained: reopening the store replaces the replica.
   Replica* replica() { return replica_.get(); }
   const Replica* replica() const { return replica_.get(); }
 
@@ -81,9 +80,9 @@
   PeerDiscovery& discovery_;
   Observer& observer_;
   const Log log_;
-  bool bootstrap_;                // until the store has been opened once
-  Millis nextOpenAt_ = 0;         // no earlier, after a failure
-  std::vector<NodeId> contacts_;  // as the replica has them
+  bool bootstrap_;                // true until the store has been opened once
+  Millis nextOpenAt_ = 0;         // earliest time of the next attempt, after a failure
+  std::vector<NodeId> contacts_;  // as last passed to the replica
   MemberLinks links_;
   std::optional<StateStore> store_;
   std::unique_ptr<Replica> replica_;
--- a/src/control/follow_service.hpp
+++ b/src/control/follow_service.hpp
@@ -1,8 +1,8 @@
-// Answers the follow requests of gatekeepers and relays: as the primary, as a relay, or with a redirect. What
-// is large in a response is compressed where the follower can read that, and paced to what the machine's link
-// takes.
+// Answers the follow requests of gatekeepers and relays: as the primary, as a relay, or with a redirect.
+// Compresses the large parts of a response if the follower accepts it, and paces them to the capacity of the
+// machine's link.
 //
-// Runs on the thread of the services that it refers to, which must outlive it.
+// Runs on the thread of the services that it refers to. They must outlive it.
 #pragma once
 
 #include "consensus/replica.hpp"
@@ -17,12 +17,12 @@
 
 class FollowService {
  public:
-  // `networkMbps`: of the machine's link; 0: not known, and nothing is paced.
+  // `networkMbps`: capacity of the machine's link in Mbit/s; 0: unknown, and responses are not paced.
   FollowService(NodeId self, double networkMbps, const PeerDiscovery& discovery, PrimaryRole& primary,
                 RelayService& relay);
 
   FollowResponse answer(const FollowRequest& request, const Replica& replica);
-  // Names the core, and nothing else.
+  // Returns a response that contains only the view of the core.
   FollowResponse redirectToCore() const;
 
  private:
--- a/src/control/internal_api.cpp
+++ b/src/control/internal_api.cpp
@@ -8,7 +8,7 @@
 namespace lilacmux {
 namespace {
 
-constexpr std::size_t kMaxConnections = 512;  // of gatekeepers and members
+constexpr std::size_t kMaxConnections = 512;  // from gatekeepers, relays and members
 
 Frame acknowledgement() { return {{{"t", "heard"}}, {}}; }
 
@@ -23,8 +23,8 @@
 
 void InternalApi::handle(Frame&& frame, const FrameServer::Reply& reply) {
   ++requestCount_;
-  if (const auto presence = parsePeerAnnouncement(frame))
-    return reply(discovery_.handleAnnouncement(*presence));
+  if (const auto announcement = parsePeerAnnouncement(frame))
+    return reply(discovery_.handleAnnouncement(*announcement));
   Replica* replica = member_.replica();
   if (!replica) return reply(toFrame(follows_.redirectToCore()));
   if (const auto request = parseFollowRequest(frame))
--- a/src/control/internal_api.hpp
+++ b/src/control/internal_api.hpp
@@ -1,7 +1,7 @@
-// Answers what the other processes of the system send over frames: announcements of control processes, follow
-// requests of gatekeepers and relays, and the messages of core members.
+// Answers the frames of the other processes of the system: announcements of control processes, follow
+// requests of gatekeepers and relays, and messages of core members.
 //
-// Runs on the thread of the io_context, which must outlive it, as must the parts that it refers to.
+// Runs on the thread of the io_context. The io_context and the components that it refers to must outlive it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,10 +24,10 @@
   InternalApi(PeerDiscovery& discovery, CoreMember& member, FollowService& follows)
       : discovery_(discovery), member_(member), follows_(follows) {}
 
-  // Throws std::runtime_error if it cannot listen.
+  // Throws std::runtime_error if the listener cannot be opened.
   void listen(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, const Log& log);
 
-  // Frames received since the start of the process.
+  // Returns the number of frames received since the start of the process.
   std::uint64_t requestCount() const { return requestCount_; }
 
  private:
--- a/src/control/member_links.cpp
+++ b/src/control/member_links.cpp
@@ -8,9 +8,9 @@
 
 using namespace std::chrono_literals;
 
-// Until a message without a state is acknowledged; after it the connection is closed.
+// Timeout for the acknowledgement of a message without a state; when it expires the connection is closed.
 constexpr auto kAckTimeout = 600ms;
-// A state that is transferred more slowly is aborted: a quarter of the slowest link of a core machine.
+// Slower transfers of a state are aborted. A quarter of the slowest link of a core machine.
 constexpr std::size_t kMinBytesPerMs = 3000;
 
 }  // namespace
@@ -37,7 +37,7 @@
   link.stateInFlight = id;
   Frame frame = toFrame(message);
   const std::size_t bytes = frame.body.size();
-  // It is queued behind what is still in flight on that connection.
+  // The state is queued behind the states that are in flight on the same connection.
   link.bytesInFlight += bytes;
   link.states.call(std::move(frame), stateTimeout(link.bytesInFlight),
                    [&link, id, bytes](const std::optional<Frame>&) {
--- a/src/control/member_links.hpp
+++ b/src/control/member_links.hpp
@@ -1,8 +1,8 @@
-// A core member's connections to the other members: one to each for heartbeats, votes and acknowledgements,
-// and one for replicated states.
+// A core member's connections to the other members: to each of them one for heartbeats, votes and
+// acknowledgements, and one for replicated states.
 //
-// A state may be megabytes. On the same connection a heartbeat would wait behind it, and leases would expire;
-// and a timeout that suits a heartbeat would abort each large state before it has arrived.
+// A state may have megabytes. On a shared connection a heartbeat would be queued behind it, and leases would
+// expire; and a timeout that suits a heartbeat would abort the transfer of each large state.
 //
 // Runs on the thread of the io_context, which must outlive the links.
 #pragma once
@@ -25,7 +25,7 @@
  public:
   explicit MemberLinks(boost::asio::io_context& io) : io_(io) {}
 
-  // Sends without a guarantee of delivery. A state that is still in flight to that member is not sent again.
+  // Sends `message` without a guarantee of delivery. Does not resend a state that is still in flight to `to`.
   // Throws SettingsError if `to` is not an address.
   void send(const NodeId& to, const MemberMessage& message);
 
@@ -36,8 +36,8 @@
         : control(io, address), states(io, address) {}
     FrameClient control;
     FrameClient states;
-    std::optional<StateId> stateInFlight;  // the newest
-    std::size_t bytesInFlight = 0;         // of all states
+    std::optional<StateId> stateInFlight;  // the newest one sent
+    std::size_t bytesInFlight = 0;         // total of all states in flight
   };
 
   Link& linkTo(const NodeId& member);
@@ -47,7 +47,7 @@
   std::map<NodeId, std::unique_ptr<Link>> links_;
 };
 
-// How long a state of that size may take to be acknowledged by the other member.
+// Returns the time within which the other member must acknowledge a state of `bytes` bytes.
 std::chrono::milliseconds stateTimeout(std::size_t bytes);
 
 }  // namespace lilacmux
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -20,7 +20,7 @@
 constexpr const char* kDescribePath = "/api/Configuration.Describe";
 constexpr const char* kBaseRevisionHeader = "X-Base-Revision";
 
-constexpr const char* kRetryAfter = "0.2";  // seconds; a primary is elected within a few of them
+constexpr const char* kRetryAfter = "0.2";  // seconds; an election takes a few of these intervals
 constexpr const char* kJsonType = "application/json";
 constexpr const char* kMessagePackType = "application/msgpack";
 
@@ -28,11 +28,13 @@
 constexpr std::size_t kMaxConfigurationBytes = 8 << 20;
 constexpr auto kRequestTimeout = 10000ms;
 
-CallReply refusal(http::status status, const std::string& reason) { return callReply(status, reason + "\n"); }
+CallReply errorReply(http::status status, const std::string& reason) {
+  return callReply(status, reason + "\n");
+}
 
-// The request may be sent again, unchanged.
-CallReply temporaryRefusal(const std::string& reason) {
-  CallReply out = refusal(http::status::service_unavailable, reason);
+// Returns a reply that asks the operator to resend the request unchanged.
+CallReply retryLaterReply(const std::string& reason) {
+  CallReply out = errorReply(http::status::service_unavailable, reason);
   out.set(http::field::retry_after, kRetryAfter);
   return out;
 }
@@ -42,14 +44,14 @@
     case ChangeOutcome::acknowledged:
       return callReply(http::status::ok, result.message + "\n");
     case ChangeOutcome::conflict:
-      return refusal(http::status::precondition_failed, result.message);
+      return errorReply(http::status::precondition_failed, result.message);
     case ChangeOutcome::invalid:
-      return refusal(http::status::bad_request, result.message);
+      return errorReply(http::status::bad_request, result.message);
     case ChangeOutcome::unavailable:
     case ChangeOutcome::notPrimary:
       break;
   }
-  return temporaryRefusal(result.message);
+  return retryLaterReply(result.message);
 }
 
 CoreRole roleOf(const Replica& replica, const NodeId& self) {
@@ -100,14 +102,14 @@
     return respond(callReply(http::status::ok, metricsText(status()), Exposition::kType));
   if (path == kReplacePath || path == kDescribePath)
     return handleConfiguration(path, std::move(request), respond);
-  respond(refusal(http::status::not_found, "no such call"));
+  respond(errorReply(http::status::not_found, "no such call"));
 }
 
 void OperatorApi::handleConfiguration(const std::string& path, HttpRequest&& request,
                                       const Respond& respond) {
   const bool isReplace = path == kReplacePath;
   if (request.method() != (isReplace ? http::verb::post : http::verb::get))
-    return respond(refusal(http::status::method_not_allowed, "the call's method is another"));
+    return respond(errorReply(http::status::method_not_allowed, "the call's method is another"));
   Replica* replica = components_.member.replica();
   if (!replica || !replica->hasLease(steadyMs())) return respond(redirectToPrimary(path));
   if (isReplace) return replaceConfiguration(std::move(request), *replica, respond);
@@ -116,21 +118,21 @@
 
 void OperatorApi::replaceConfiguration(HttpRequest&& request, Replica& replica, const Respond& respond) {
   const auto base = number<std::uint64_t>(view(request[kBaseRevisionHeader]));
-  if (!base) return respond(refusal(http::status::bad_request, "X-Base-Revision is not a number"));
+  if (!base) return respond(errorReply(http::status::bad_request, "X-Base-Revision is not a number"));
   components_.configuration.submit(steadyMs(), replica, {std::move(request.body()), *base},
                                    [respond](const ChangeResult& result) { respond(replyOf(result)); });
 }
 
 CallReply OperatorApi::describeConfiguration(const Replica& replica) const {
   const ReplicatedState& state = replica.committed();
-  if (!state.body) return refusal(http::status::not_found, "no configuration yet");
+  if (!state.body) return errorReply(http::status::not_found, "no configuration yet");
   return callReply(http::status::ok, *state.body, kMessagePackType);
 }
 
 CallReply OperatorApi::redirectToPrimary(const std::string& path) const {
   const NodeId target = redirectTarget();
-  if (target.empty() || target == self_) return temporaryRefusal("no primary yet");
-  // Every control node has its operators' listener on the same port.
+  if (target.empty() || target == self_) return retryLaterReply("no primary yet");
+  // All control nodes listen for operators on the same port.
   const Endpoint listener(parseAddress(target, "leader").address(), address_.port());
   CallReply out = callReply(http::status::temporary_redirect, "the primary is elsewhere\n");
   out.set(http::field::location, "http://" + textOf(listener) + path);
@@ -139,11 +141,12 @@
 
 NodeId OperatorApi::redirectTarget() const {
   const Replica* replica = std::as_const(components_.member).replica();
-  return replica ? replica->leader() : someCoreProcess();
+  return replica ? replica->leader() : relayOrCoreCandidate();
 }
 
-// For a node without a disk: a relay, else a member of the core in turn; they know the primary.
-NodeId OperatorApi::someCoreProcess() const {
+// Returns the redirect target of a node without a replica: the first known relay, or else one of the core
+// candidates in rotation. They know the primary. Empty if none is known.
+NodeId OperatorApi::relayOrCoreCandidate() const {
   const auto& relays = components_.relay.knownRelays();
   if (!relays.empty()) return relays.front().address;
   const auto candidates = components_.discovery.coreCandidates();
--- a/src/control/operator_api.hpp
+++ b/src/control/operator_api.hpp
@@ -1,7 +1,7 @@
-// What a control node answers to operators over HTTP: reading and replacing the configuration, status and
-// metrics. A node that is not the primary redirects operators to it, as far as it knows it.
+// HTTP interface of a control node for operators: reads and replaces the configuration, and reports status
+// and metrics. A node that is not the primary redirects configuration calls to the primary if it is known.
 //
-// Runs on the thread of the io_context, which must outlive it, as must the parts that it refers to.
+// Runs on the thread of the io_context. The io_context and the components that it refers to must outlive it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,7 +22,7 @@
 
 class OperatorApi {
  public:
-  // The parts of the control node that it reports on and acts through.
+  // The components of the control node that the calls read or change.
   struct Components {
     CoreMember& member;
     ConfigurationService& configuration;
@@ -32,10 +32,10 @@
     const InternalApi& internalApi;
   };
 
-  // The settings must have an address for `listeners.controlPlane`.
+  // `settings.controlPlane` must be set.
   OperatorApi(NodeId self, const NodeSettings& settings, const Components& components);
 
-  // Throws std::runtime_error if it cannot listen.
+  // Throws std::runtime_error if the listener cannot be opened.
   void listen(boost::asio::io_context& io);
 
  private:
@@ -48,7 +48,7 @@
   CallReply describeConfiguration(const Replica& replica) const;
   CallReply redirectToPrimary(const std::string& path) const;
   NodeId redirectTarget() const;
-  NodeId someCoreProcess() const;
+  NodeId relayOrCoreCandidate() const;
   ControlStatus status() const;
 
   const NodeId self_;
--- a/src/control/peer_discovery.cpp
+++ b/src/control/peer_discovery.cpp
@@ -6,7 +6,7 @@
 namespace lilacmux {
 namespace {
 
-constexpr double kMinSaveIntervalMs = 10000;  // each write may have to wait for the disk
+constexpr double kMinSaveIntervalMs = 10000;  // each write may block on the disk
 
 std::optional<std::filesystem::path> peerFile(const NodeSettings& settings) {
   if (!settings.dataDirectory) return std::nullopt;
--- a/src/control/primary_role.cpp
+++ b/src/control/primary_role.cpp
@@ -18,7 +18,7 @@
   return {bounds.retryBudgetRatio, bounds.retryBudgetSlack};
 }
 
-// Each tenant's quota by the configuration; none where there is no configuration that can be read.
+// Returns each tenant's quota by the configuration; empty if there is no readable configuration.
 std::map<std::string, Quota> quotasOf(const ReplicatedState& state) {
   std::map<std::string, Quota> out;
   if (!state.body) return out;
@@ -33,17 +33,17 @@
 }  // namespace
 
 PrimaryRole::PrimaryRole(boost::asio::io_context& io, const NodeSettings& settings,
-                         std::function<void()> onHolderAdded, Log log)
+                         std::function<void()> onGrantHolderAdded, Log log)
     : io_(io),
       bounds_(settings.bounds),
       platform_{settings.platform, settings.platformRatePerS},
-      onHolderAdded_(std::move(onHolderAdded)),
+      onGrantHolderAdded_(std::move(onGrantHolderAdded)),
       log_(std::move(log)) {}
 
 void PrimaryRole::apply(Millis now, std::uint64_t epoch, const ChangeLog& followed,
                         const ReplicatedState& committed) {
   if (!primary_) begin(now, epoch, followed, committed);
-  if (primary_->revision() == committed.revision) return;  // only names of holders have changed
+  if (primary_->revision() == committed.revision) return;  // only names of grant holders have changed
   primary_->setConfiguration(now, committed.revision, committed.body, quotasOf(committed));
 }
 
@@ -57,22 +57,22 @@
 
 void PrimaryRole::end() {
   primary_.reset();
-  unreplicatedHolders_.clear();
-  // This may be called from one of the watch's own handlers.
-  boost::asio::post(io_, [watch = std::shared_ptr<PlatformWatcher>(std::move(watch_))] {});
+  unreplicatedGrantHolders_.clear();
+  // Destroys the watcher later, as this may run inside one of its handlers.
+  boost::asio::post(io_, [watcher = std::shared_ptr<PlatformWatcher>(std::move(watcher_))] {});
 }
 
 bool PrimaryRole::setPlatform(const PlatformEndpoint& platform) {
-  const bool hasMoved = platform.address != platform_.address;
+  const bool addressChanged = platform.address != platform_.address;
   platform_ = platform;
-  if (hasMoved && watch_) watchPlatform();
-  return hasMoved;
+  if (addressChanged && watcher_) watchPlatform();
+  return addressChanged;
 }
 
 void PrimaryRole::watchPlatform() {
-  watch_.reset();
-  if (!platform_.address) return log_("platformApi.address is missing: no list of servers");
-  watch_ = std::make_unique<PlatformWatcher>(
+  watcher_.reset();
+  if (!platform_.address) return log_("platformApi.address is not set; no server list is read");
+  watcher_ = std::make_unique<PlatformWatcher>(
       io_, *platform_.address, platform_.maxRequestsPerS,
       [this](const std::vector<Instance>& list) {
         if (primary_) primary_->updateServers(list);
@@ -82,23 +82,24 @@
 
 void PrimaryRole::fillResponse(Millis now, const FollowRequest& request, const ReplicatedState& committed,
                                FollowResponse& response) {
-  const std::string holder = nameWithoutIncarnation(request.name);
-  const bool isReplicated = committed.grantHolders.contains(holder);
+  const std::string grantHolder = nameWithoutIncarnation(request.name);
+  const bool isReplicated = committed.grantHolders.contains(grantHolder);
   if (!isReplicated) {
-    unreplicatedHolders_.insert(holder);
-    onHolderAdded_();
+    unreplicatedGrantHolders_.insert(grantHolder);
+    onGrantHolderAdded_();
   }
   primary_->fillResponse(now, request, isReplicated, response);
-  if (watch_) response.listAgeMs = excessListAge(now, watch_->listAsOf(), bounds_);
+  if (watcher_) response.listAgeMs = excessListAge(now, watcher_->listAsOf(), bounds_);
 }
 
-void PrimaryRole::proposeHolders(Millis now, Replica& replica) {
-  if (unreplicatedHolders_.empty() || !replica.canPropose(now)) return;
+void PrimaryRole::proposeGrantHolders(Millis now, Replica& replica) {
+  if (unreplicatedGrantHolders_.empty() || !replica.canPropose(now)) return;
   ReplicatedState next = replica.committed();
   ++next.sequence;
-  std::erase_if(next.grantHolders, [&](const std::string& holder) { return primary_->isGone(now, holder); });
-  next.grantHolders.merge(unreplicatedHolders_);
-  unreplicatedHolders_.clear();
+  std::erase_if(next.grantHolders,
+                [&](const std::string& grantHolder) { return primary_->isGone(now, grantHolder); });
+  next.grantHolders.merge(unreplicatedGrantHolders_);
+  unreplicatedGrantHolders_.clear();
   replica.propose(now, next);
 }
 
--- a/src/control/primary_role.hpp
+++ b/src/control/primary_role.hpp
@@ -1,6 +1,6 @@
-// What a control node does only while it is the primary: keeps the change log that relays follow and the
-// ledgers of grants, watches the platform's server list, and has the names of new grant holders replicated.
-// The role begins with the first state that is known to be committed and ends when primacy is lost.
+// The work that a control node does only while it is the primary: maintains the change log that relays follow
+// and the ledgers of grants, watches the platform's server list, and replicates the names of new grant
+// holders. The role begins with the first state that is known to be committed and ends when primacy is lost.
 //
 // Runs on the thread of the io_context, which must outlive it.
 #pragma once
@@ -20,9 +20,9 @@
 
 namespace lilacmux {
 
-// The platform's API that lists the servers.
+// Address and request rate of the platform's API, which lists the servers.
 struct PlatformEndpoint {
-  std::optional<Endpoint> address;  // none: there is no list of servers
+  std::optional<Endpoint> address;  // none: no server list is read
   double maxRequestsPerS = 1;
 };
 
@@ -32,36 +32,39 @@
 
   struct Status {
     std::uint64_t logPosition = 0;
-    std::uint64_t revision = 0;  // of the configuration in the log
-    std::size_t relays = 0;      // that follow the log
+    std::uint64_t revision = 0;  // revision of the configuration in the log
+    std::size_t relays = 0;      // relays that follow the log
   };
 
-  // `onHolderAdded` is called when a name waits to be replicated: see `proposeHolders`.
-  PrimaryRole(boost::asio::io_context& io, const NodeSettings& settings, std::function<void()> onHolderAdded,
-              Log log);
+  // `onGrantHolderAdded` is called when a name has been queued for `proposeGrantHolders`.
+  PrimaryRole(boost::asio::io_context& io, const NodeSettings& settings,
+              std::function<void()> onGrantHolderAdded, Log log);
 
-  // At the primary: begins the role unless it is active, and puts the committed configuration into the change
-  // log. `followed`: the log as this process has received it from earlier primaries, which a new one
-  // continues.
+  // To be called at the primary with each committed state: begins the role unless it is active, and puts the
+  // committed configuration into the change log. `followed`: the log that this process has received from
+  // earlier primaries; a new primary continues it.
   void apply(Millis now, std::uint64_t epoch, const ChangeLog& followed, const ReplicatedState& committed);
+  // Ends the role. May be called from a handler of the platform watcher.
   void end();
   bool isActive() const { return primary_ != nullptr; }
 
-  // Replaces the platform's address and rate by those of newer settings. An active role reads the list from a
-  // new address at once, but takes a new rate with the next address only. Returns whether the address is new.
+  // Replaces the platform's address and rate (after a reload of the settings). While the role is active, a
+  // new address takes effect at once, and a new rate only with the next new address. Returns whether the
+  // address has changed.
   bool setPlatform(const PlatformEndpoint& platform);
 
-  // Fills in the response to a relay. Only while active. A relay is granted nothing before its name has been
-  // replicated; until then it is queued for `proposeHolders`.
+  // Fills in the response to a relay. Must only be called while the role is active. A relay gets no grant
+  // before its name has been replicated; a name that has not been is queued for `proposeGrantHolders`.
   void fillResponse(Millis now, const FollowRequest& request, const ReplicatedState& committed,
                     FollowResponse& response);
-  // Proposes the queued names, if there are any and the replica can write, so that the next primary knows
-  // from whom it must hear first. Names of holders that are gone are dropped with the same change.
-  void proposeHolders(Millis now, Replica& replica);
+  // Proposes to replicate the queued names, if there are any and the replica can propose: the next primary
+  // must receive a report from each named grant holder first. The same change drops holders whose grants
+  // have expired.
+  void proposeGrantHolders(Millis now, Replica& replica);
 
-  // Nothing while it is not active.
+  // Returns nothing while the role is not active.
   std::optional<Status> status(Millis now) const;
-  // How often the role has begun since the start of the process.
+  // Returns how often the role has begun since the start of the process.
   std::uint64_t activationCount() const { return activationCount_; }
 
  private:
@@ -71,11 +74,11 @@
   boost::asio::io_context& io_;
   const ServiceBounds bounds_;
   PlatformEndpoint platform_;
-  const std::function<void()> onHolderAdded_;
+  const std::function<void()> onGrantHolderAdded_;
   const Log log_;
-  std::unique_ptr<PrimaryService> primary_;  // while active
-  std::unique_ptr<PlatformWatcher> watch_;   // while active, if there is an address
-  std::set<std::string> unreplicatedHolders_;
+  std::unique_ptr<PrimaryService> primary_;   // while active
+  std::unique_ptr<PlatformWatcher> watcher_;  // while active, if there is an address
+  std::set<std::string> unreplicatedGrantHolders_;
   std::uint64_t activationCount_ = 0;
 };
 
--- a/src/control/relay_locator.cpp
+++ b/src/control/relay_locator.cpp
@@ -10,7 +10,7 @@
   out.position = position_;
   out.acceptsPacked = true;
   out.revision = revision_;
-  out.relayListHash = out.full ? 0 : relayListId_;
+  out.relayListHash = out.full ? 0 : relayListHash_;
   return out;
 }
 
@@ -18,7 +18,7 @@
   if (response.delta.listed) position_ = {response.epoch, response.delta.index};
   revision_ = response.delta.revision;
   if (response.relays.empty()) return false;
-  relayListId_ = response.relayListHash;
+  relayListHash_ = response.relayListHash;
   relays_ = response.relays;
   return true;
 }
--- a/src/control/relay_locator.hpp
+++ b/src/control/relay_locator.hpp
@@ -1,5 +1,5 @@
-// How a control process without a disk learns where the relays are: it follows a relay and asks for the list
-// of relays alone, so as to redirect operators to one. A state machine without a socket or a clock.
+// Finds the relays for a control process without a disk, which redirects operators to one of them. Follows a
+// relay and uses only the list of relays in its responses. A state machine without sockets or a clock.
 #pragma once
 
 #include <cstdint>
@@ -14,20 +14,21 @@
  public:
   RelayLocator(std::string name, std::string zone) : name_(std::move(name)), zone_(std::move(zone)) {}
 
+  // Returns the next request to the relay.
   FollowRequest request(ReportScope scope) const;
-  // Returns whether it held a list of relays.
+  // Records a response. Returns whether it contained a list of relays.
   bool apply(const FollowResponse& response);
 
-  // The best to ask first; empty until a list has been received.
+  // Returns the relays in order of preference; empty until a list has been received.
   const std::vector<RelayEndpoint>& relays() const { return relays_; }
 
  private:
   const std::string name_;
   const std::string zone_;
-  // What has been received, so that it is not sent again.
+  // State received so far; named in requests so that the relay does not send it again.
   ListPosition position_;
   std::uint64_t revision_ = 0;
-  std::uint64_t relayListId_ = 0;
+  std::uint64_t relayListHash_ = 0;
   std::vector<RelayEndpoint> relays_;
 };
 
--- a/src/control/relay_service.cpp
+++ b/src/control/relay_service.cpp
@@ -12,13 +12,13 @@
 
 constexpr std::uint64_t kIncarnationBits = 0x3fffffff;
 
-// Identifies one start of the process. Incarnations are only compared for equality, never ordered; the time
-// of day would not do, as it may be set back.
+// Returns a random number that identifies one start of the process. Incarnations are only compared for
+// equality, never ordered. The time of day is unsuitable, as it may be set back.
 std::uint64_t newIncarnation() {
-  std::uint32_t drawn = 0;
-  if (getentropy(&drawn, sizeof drawn) != 0)
-    drawn = static_cast<std::uint32_t>(std::chrono::steady_clock::now().time_since_epoch().count());
-  return drawn & kIncarnationBits;
+  std::uint32_t random = 0;
+  if (getentropy(&random, sizeof random) != 0)
+    random = static_cast<std::uint32_t>(std::chrono::steady_clock::now().time_since_epoch().count());
+  return random & kIncarnationBits;
 }
 
 }  // namespace
@@ -32,7 +32,8 @@
       locator_(settings.name + "/control", settings.zone) {}
 
 void RelayService::follow(Mode mode) {
-  follower_ = std::make_unique<Follower>(io_, seeds_, mode == Mode::relay ? relayHost() : locatorHost());
+  follower_ =
+      std::make_unique<Follower>(io_, seeds_, mode == Mode::relay ? relayCallbacks() : locatorCallbacks());
   coreEpoch_.reset();
 }
 
@@ -47,7 +48,7 @@
   follower_->learnCore(core);
 }
 
-Follower::Callbacks RelayService::relayHost() {
+Follower::Callbacks RelayService::relayCallbacks() {
   return {[this](ReportScope scope) { return relay_.nextRequest(steadyMs(), scope); },
           [this](const FollowResponse& response, double sentAt) {
             relay_.handleResponse(steadyMs(), response, sentAt);
@@ -55,7 +56,7 @@
           [this] { relay_.requestFailed(); }, log_, nullptr};
 }
 
-Follower::Callbacks RelayService::locatorHost() {
+Follower::Callbacks RelayService::locatorCallbacks() {
   return {[this](ReportScope scope) { return locator_.request(scope); },
           [this](const FollowResponse& response, double) {
             if (locator_.apply(response)) follower_->prefer(locator_.relays());
--- a/src/control/relay_service.hpp
+++ b/src/control/relay_service.hpp
@@ -1,5 +1,5 @@
-// The relay of a control process for the gatekeepers near it, with the follower that keeps it up to date. A
-// process that has no replica relays nothing: its follower only learns where the relays are.
+// The relay of a control process for nearby gatekeepers, with the follower that keeps the relay up to date. A
+// process without a replica relays nothing: its follower only finds the other relays.
 //
 // Runs on the thread of the io_context, which must outlive it.
 #pragma once
@@ -26,37 +26,38 @@
 
   enum class Mode {
     relay,   // follows the primary and serves gatekeepers
-    locator  // learns where the relays are, and nothing else
+    locator  // only finds the relays
   };
 
   RelayService(boost::asio::io_context& io, const std::string& address, const NodeSettings& settings,
                Log log);
 
-  // Begins to follow, or begins anew in another mode. To be called before anything below.
+  // Starts to follow, or restarts in another mode. Must be called before the methods below.
   void follow(Mode mode);
-  // Seeds of newer settings, in place of the former ones.
+  // Replaces the seeds (after a reload of the settings).
   void setSeeds(std::vector<Endpoint> seeds);
-  // The newest view of the core; the follower is given it when its epoch changes.
+  // Passes the newest view of the core to the follower if its epoch has changed.
   void updateCore(const CoreView& core);
 
-  // Answers a gatekeeper. Epoch 0 in the response: it should ask the core, which is named in it.
+  // Answers a gatekeeper. A response with epoch 0 redirects the gatekeeper to the core that it names.
   FollowResponse answer(Millis now, const FollowRequest& request, const CoreView& core);
 
   // Redirects gatekeepers to other relays from here on.
   void beginDrain() { relay_.drain(); }
-  // Tells the primary that this relay ends, and calls `done` once that is heard or nobody hears.
+  // Reports to the primary that this relay stops. Calls `done` once the primary has responded or the request
+  // has timed out.
   void finishDrain(std::function<void()> done);
 
-  // The log as received from the primary.
+  // Returns the log as received from the primary.
   const ChangeLog& changeLog() const { return relay_.log(); }
   std::size_t gatekeepers(Millis now) const { return relay_.gatekeeperCount(now); }
   std::uint64_t revision() const { return relay_.revision(); }
-  // The relays that are known in mode `locator`.
+  // Returns the relays found in mode `locator`.
   const std::vector<RelayEndpoint>& knownRelays() const { return locator_.relays(); }
 
  private:
-  Follower::Callbacks relayHost();
-  Follower::Callbacks locatorHost();
+  Follower::Callbacks relayCallbacks();
+  Follower::Callbacks locatorCallbacks();
 
   boost::asio::io_context& io_;
   const Log log_;
@@ -64,7 +65,7 @@
   Relay relay_;
   RelayLocator locator_;
   std::unique_ptr<Follower> follower_;
-  std::optional<std::uint64_t> coreEpoch_;  // of the view that the follower was given
+  std::optional<std::uint64_t> coreEpoch_;  // epoch of the view last passed to the follower
 };
 
 }  // namespace lilacmux
--- a/src/discovery/announcer.cpp
+++ b/src/discovery/announcer.cpp
@@ -36,8 +36,7 @@
                });
 }
 
-// Keeps no client for a peer that is gone. The client is destroyed later, as this runs inside its own
-// handler.
+// Drops the client of an unresponsive peer. Destroys it later, as this runs inside one of its handlers.
 void Announcer::closeConnection(const NodeId& peer) {
   const auto found = clients_.find(peer);
   if (found == clients_.end()) return;
--- a/src/discovery/core_view.hpp
+++ b/src/discovery/core_view.hpp
@@ -1,4 +1,4 @@
-// The members of the core as one process has reported them to another.
+// The members of the core, as control processes report them to each other.
 #pragma once
 
 #include <cstdint>
@@ -8,11 +8,11 @@
 
 namespace lilacmux {
 
-// The membership of the core in one epoch. It is only a hint on whom to contact: who may act is decided by
-// leases and epochs alone.
+// The membership of the core in one epoch. Only a hint about which processes to contact: leases and epochs
+// alone decide which of them may act.
 struct CoreView {
   std::uint64_t epoch = 0;      // 0: the initial members, or an unknown epoch record
-  std::vector<NodeId> members;  // sorted; empty: nothing is known
+  std::vector<NodeId> members;  // sorted; empty: unknown
 };
 
 }  // namespace lilacmux
--- a/src/discovery/endpoint_selector.cpp
+++ b/src/discovery/endpoint_selector.cpp
@@ -6,9 +6,10 @@
 namespace lilacmux {
 namespace {
 
-// A follower uses one endpoint at a time and needs the others only when that one is lost.
+// A follower uses one endpoint at a time and needs the others only if that connection is lost.
 constexpr std::size_t kMaxResponsive = 4;
-// Far more members than any number of tolerated losses needs: bounds what a peer can make this process keep.
+// Limits the memory that a report of a peer can use. Far above the members that any number of tolerated
+// losses requires.
 constexpr std::size_t kMaxCoreMembers = 32;
 
 void truncate(std::vector<Endpoint>& endpoints, std::size_t maxSize) {
@@ -35,7 +36,7 @@
 }
 
 void EndpointSelector::markResponsive(const Endpoint& endpoint) {
-  tried_ = {endpoint};  // if it is lost later, the others are tried first
+  tried_ = {endpoint};  // if this endpoint is lost, the others are tried first
   if (!responsive_.empty() && responsive_.front() == endpoint) return;
   std::erase(responsive_, endpoint);
   responsive_.insert(responsive_.begin(), endpoint);
@@ -56,7 +57,7 @@
   if (known.empty()) return std::nullopt;
   const auto isUntried = [&](const Endpoint& endpoint) { return !tried_.contains(endpoint); };
   auto selected = std::find_if(known.begin(), known.end(), isUntried);
-  if (selected == known.end()) {  // all were tried: a new pass
+  if (selected == known.end()) {  // all were tried: start a new pass
     tried_.clear();
     selected = known.begin();
   }
--- a/src/discovery/endpoint_selector.hpp
+++ b/src/discovery/endpoint_selector.hpp
@@ -1,4 +1,4 @@
-// Selects which endpoint a follower tries next.
+// Selects the endpoint that a follower tries next.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 // the newest known members of the core, the seeds of the settings, and an older view of the core. Each
 // endpoint is tried once in a pass; one that becomes known during a pass is tried in the same pass.
 //
-// Seeds are never dropped, so a stale or wrong hint costs one attempt and hides no other endpoint. A state
+// Seeds are never dropped. A stale or wrong hint costs one attempt and never hides another endpoint. A state
 // machine without sockets or a clock; not thread-safe.
 class EndpointSelector {
  public:
@@ -23,8 +23,8 @@
   // Replaces the seeds (after a reload of the settings).
   void setSeeds(std::vector<Endpoint> seeds) { seeds_ = std::move(seeds); }
 
-  // Sets the members of the core in `epoch`. Members of an older epoch than the newest known one are kept
-  // aside and tried last; no members: ignored.
+  // Sets the members of the core in `epoch`. Members of an epoch older than the newest known one are tried
+  // last. An empty list is ignored.
   void setCore(std::uint64_t epoch, std::vector<Endpoint> members);
 
   // Sets the preferred endpoints, best first. Returns false if that changes nothing or the list is empty.
@@ -34,20 +34,20 @@
   // Records a valid response. The next pass begins at the preferred endpoints again.
   void markResponsive(const Endpoint& endpoint);
 
-  // Records that `endpoint` was tried in this pass, whoever selected it.
+  // Records that `endpoint` was tried in this pass, even if `next` did not select it.
   void markTried(const Endpoint& endpoint) { tried_.insert(endpoint); }
 
-  // The next endpoint to try, which counts as tried; nothing if no endpoint is known.
+  // Returns the next endpoint to try and marks it as tried; nothing if no endpoint is known.
   std::optional<Endpoint> next();
 
-  // All known endpoints without duplicates, in the order of a pass.
+  // Returns all known endpoints without duplicates, in the order of a pass.
   std::vector<Endpoint> endpoints() const;
 
  private:
   std::vector<Endpoint> seeds_;
   std::vector<Endpoint> preferred_;
   std::vector<Endpoint> responsive_;  // most recent first
-  std::vector<Endpoint> core_;        // of coreEpoch_
+  std::vector<Endpoint> core_;        // members in coreEpoch_
   std::vector<Endpoint> olderCore_;
   std::uint64_t coreEpoch_ = 0;
   std::set<Endpoint> tried_;  // in this pass
--- a/src/discovery/peer_announcement.cpp
+++ b/src/discovery/peer_announcement.cpp
@@ -8,7 +8,7 @@
 namespace lilacmux {
 namespace {
 
-// On the wire, read by processes of other versions: these texts must not change.
+// Names on the wire. They must not change, as processes of other versions read them.
 constexpr const char* kAnnouncementKind = "presence";
 constexpr const char* kFrom = "from";
 constexpr const char* kIsMember = "member";
--- a/src/discovery/peer_directory.cpp
+++ b/src/discovery/peer_directory.cpp
@@ -7,19 +7,21 @@
 namespace lilacmux {
 namespace {
 
-// There are a few control processes in each zone, whatever the number of gatekeepers (deploy/system.toml).
+// Each zone has a few control processes, however many gatekeepers there are (deploy/system.toml).
 constexpr std::size_t kMaxPeers = 128;
 constexpr std::size_t kMaxAnnouncedPeers = 32;
 constexpr unsigned kMaxBackoffDoublings = 8;
-constexpr PeerDirectory::Millis kForgetAfter = 600'000;  // without an announcement, of a peer that sent one
-constexpr unsigned kForgetAfterFailures = 64;            // of a peer that never sent one
+// A peer expires this long after its last announcement.
+constexpr PeerDirectory::Millis kPeerExpiry = 600'000;
+// A peer that has never sent an announcement expires after this many failures.
+constexpr unsigned kMaxFailuresBeforeContact = 64;
 
 }  // namespace
 
-PeerDirectory::PeerDirectory(NodeId self, std::vector<NodeId> seeds, const std::vector<NodeId>& remembered,
+PeerDirectory::PeerDirectory(NodeId self, std::vector<NodeId> seeds, const std::vector<NodeId>& savedPeers,
                              Timing timing)
     : self_(std::move(self)), timing_(timing) {
-  for (const NodeId& node : remembered) add(node);
+  for (const NodeId& node : savedPeers) addPeer(node);
   setSeeds(std::move(seeds));
 }
 
@@ -35,47 +37,48 @@
 
 void PeerDirectory::setLocalView(const CoreView& view, bool isMember) {
   isMember_ = isMember;
-  learn(view);
+  updateCore(view);
 }
 
-// Views of one epoch are equal, except for the initial members: those have no epoch.
-void PeerDirectory::learn(const CoreView& view) {
+// Keeps the view with the newer epoch. Views of the same epoch are equal, except those of the initial
+// members, which have no epoch.
+void PeerDirectory::updateCore(const CoreView& view) {
   if (view.members.empty()) return;
   if (!core_.members.empty() && view.epoch <= core_.epoch) return;
   core_ = view;
-  for (const NodeId& member : core_.members) add(member);
+  for (const NodeId& member : core_.members) addPeer(member);
 }
 
-void PeerDirectory::add(const NodeId& node) {
+void PeerDirectory::addPeer(const NodeId& node) {
   if (node == self_ || node.empty() || peers_.contains(node)) return;
   if (peers_.size() >= kMaxPeers && !evictUnresponsive()) return;
   peers_.try_emplace(node);
 }
 
-// Removes the unresponsive peer that was heard from least recently; never a seed. Returns whether there was
-// one.
+// Evicts the unresponsive peer whose last announcement is the oldest; never a seed. Returns whether there was
+// such a peer.
 bool PeerDirectory::evictUnresponsive() {
-  auto victim = peers_.end();
+  auto oldest = peers_.end();
   for (auto it = peers_.begin(); it != peers_.end(); ++it) {
     const auto& [node, peer] = *it;
     if (isSeed(node) || peer.isResponsive || peer.failures == 0) continue;
-    if (victim == peers_.end() || peer.receivedAt < victim->second.receivedAt) victim = it;
+    if (oldest == peers_.end() || peer.receivedAt < oldest->second.receivedAt) oldest = it;
   }
-  if (victim == peers_.end()) return false;
-  peers_.erase(victim);
+  if (oldest == peers_.end()) return false;
+  peers_.erase(oldest);
   return true;
 }
 
-// Only other members are worth an announcement of their own; an epoch that only elects another primary is
-// not.
+// Returns whether the peer must get an announcement because the members of the core have changed. An epoch
+// that only elects another primary does not need one.
 bool PeerDirectory::needsUpdate(Millis now, const Peer& peer) const {
   const bool isOutdated = peer.reportedCore.epoch < core_.epoch && peer.reportedCore.members != core_.members;
   return peer.isResponsive && isOutdated && now >= peer.sentAt + timing_.minUpdateInterval;
 }
 
-// Adds the peer whose turn it is, unless it is due already.
+// Adds the next responsive peer of the rotation to `due` unless it is contained already.
 void PeerDirectory::addNextInRotation(Millis now, std::vector<NodeId>& due) {
-  rotateAt_ = now + timing_.refreshInterval;
+  nextRotationAt_ = now + timing_.refreshInterval;
   auto next = peers_.upper_bound(lastRotated_);
   if (next == peers_.end()) next = peers_.begin();
   if (next == peers_.end()) return;
@@ -88,7 +91,7 @@
   std::vector<NodeId> due;
   for (const auto& [node, peer] : peers_)
     if (now >= peer.nextAnnouncementAt || needsUpdate(now, peer)) due.push_back(node);
-  if (now >= rotateAt_) addNextInRotation(now, due);
+  if (now >= nextRotationAt_) addNextInRotation(now, due);
   for (const NodeId& node : due) {
     Peer& peer = peers_[node];
     peer.sentAt = now;
@@ -123,9 +126,9 @@
 
 void PeerDirectory::recordAnnouncement(Millis now, const PeerAnnouncement& announcement) {
   if (announcement.from == self_ || announcement.from.empty()) return;
-  add(announcement.from);
-  learn(announcement.core);
-  for (const NodeId& node : announcement.peers) add(node);
+  addPeer(announcement.from);
+  updateCore(announcement.core);
+  for (const NodeId& node : announcement.peers) addPeer(node);
   const auto found = peers_.find(announcement.from);
   if (found == peers_.end()) return;
   Peer& peer = found->second;
@@ -134,7 +137,7 @@
   peer.isResponsive = true;
   peer.isMember = announcement.isMember;
   peer.reportedCore = announcement.core;
-  // It gets what it lacks in the response, or in the next announcement to it (needsUpdate).
+  // The peer gets a newer view in the response, or in the next announcement to it (needsUpdate).
   peer.nextAnnouncementAt = nextRefreshAt(now, announcement.from);
 }
 
@@ -145,13 +148,13 @@
   peer.isResponsive = false;
   ++peer.failures;
   peer.nextAnnouncementAt = nextRetryAt(now, node, peer.failures);
-  if (isForgettable(now, node, peer)) peers_.erase(found);
+  if (hasExpired(now, node, peer)) peers_.erase(found);
 }
 
-bool PeerDirectory::isForgettable(Millis now, const NodeId& node, const Peer& peer) const {
+bool PeerDirectory::hasExpired(Millis now, const NodeId& node, const Peer& peer) const {
   if (isSeed(node) || contains(core_.members, node)) return false;
-  const bool wasHeard = peer.receivedAt > kNever;
-  return wasHeard ? now - peer.receivedAt >= kForgetAfter : peer.failures >= kForgetAfterFailures;
+  const bool hasAnnounced = peer.receivedAt > kNever;
+  return hasAnnounced ? now - peer.receivedAt >= kPeerExpiry : peer.failures >= kMaxFailuresBeforeContact;
 }
 
 std::vector<NodeId> PeerDirectory::coreCandidates() const {
--- a/tests/control/accepted_changes_test.cpp
+++ b/tests/control/accepted_changes_test.cpp
@@ -1,4 +1,4 @@
-// The memory of accepted changes, and its encoding in messages between members.
+// The set of accepted changes, and its encoding in messages between members.
 #include "consensus/accepted_changes.hpp"
 
 #include <gtest/gtest.h>
@@ -19,9 +19,9 @@
   const AcceptedChanges accepted(3, {{4, digest}});
   EXPECT_TRUE(accepted.contains(digest));
   for (std::size_t i = 0; i < digest.size(); ++i) {
-    Digest other = digest;
-    other[i] ^= 1;
-    EXPECT_FALSE(accepted.contains(other)) << i;
+    Digest changed = digest;
+    changed[i] ^= 1;
+    EXPECT_FALSE(accepted.contains(changed)) << "byte " << i;
   }
 }
 
@@ -36,15 +36,15 @@
     for (std::size_t i = 0; i < entries; ++i) changes.push_back({5 + i, sha256(std::to_string(i))});
     sent.state->accepted = AcceptedChanges(4, changes);
     Frame frame = toFrame(sent);
-    Frame broken = frame, old = frame;
-    const auto read = memberMessageOf(std::move(frame));
-    ASSERT_TRUE(read && read->state);
-    EXPECT_EQ(read->state->accepted, sent.state->accepted);
-    EXPECT_EQ(*read->state->body, "body");
-    broken.head["state"]["accepted"] = "AAAA";
-    EXPECT_FALSE(memberMessageOf(std::move(broken)));
-    old.head["state"].erase("accepted");  // of a version that sent 64-bit hashes
-    EXPECT_EQ(memberMessageOf(std::move(old))->state->accepted, AcceptedChanges::onlyCurrent(9, "body"));
+    Frame malformed = frame, legacy = frame;
+    const auto decoded = memberMessageOf(std::move(frame));
+    ASSERT_TRUE(decoded && decoded->state);
+    EXPECT_EQ(decoded->state->accepted, sent.state->accepted);
+    EXPECT_EQ(*decoded->state->body, "body");
+    malformed.head["state"]["accepted"] = "AAAA";
+    EXPECT_FALSE(memberMessageOf(std::move(malformed)));
+    legacy.head["state"].erase("accepted");  // as in messages of versions that sent 64-bit hashes
+    EXPECT_EQ(memberMessageOf(std::move(legacy))->state->accepted, AcceptedChanges::onlyCurrent(9, "body"));
   }
 }
 
--- a/tests/control/configuration_body.hpp
+++ b/tests/control/configuration_body.hpp
@@ -1,4 +1,4 @@
-// Bodies of configurations for tests.
+// Configuration bodies for tests.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,8 @@
 
 namespace lilacmux::test {
 
-// The smallest valid configuration of that revision, as MessagePack. `name` tells two of one revision apart.
+// Returns the smallest valid configuration with this revision, as MessagePack. Different names give different
+// bodies for the same revision.
 inline std::string configurationBody(std::uint64_t revision, const std::string& name = "") {
   const auto bytes = nlohmann::json::to_msgpack({{"revision", revision},
                                                  {"routeRules", nlohmann::json::array()},
--- a/tests/control/configuration_service_test.cpp
+++ b/tests/control/configuration_service_test.cpp
@@ -1,4 +1,4 @@
-// The queue of configuration changes, over a core of one member and a core of three.
+// The queue of configuration changes, on a core of one member and a core of three.
 #include "control/configuration_service.hpp"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
     for (; !replica.canPropose(now) && now < 5000; now += 50) replica.tick(now);
     ASSERT_TRUE(replica.canPropose(now));
   }
-  void replace(const std::string& bytes, std::uint64_t base) {
+  void submit(const std::string& bytes, std::uint64_t base) {
     service.submit(now, replica, {bytes, base},
                    [this](const ChangeResult& result) { results.push_back(result.outcome); });
   }
@@ -46,16 +46,16 @@
 };
 
 TEST_F(ConfigurationServiceTest, AcknowledgesCommittedChangesAndIsUnavailableOnceTheDiskFails) {
-  replace(configurationBody(2), 0);
-  replace(configurationBody(3), 0);
+  submit(configurationBody(2), 0);
+  submit(configurationBody(3), 0);
   diskFails = true;
-  replace(configurationBody(4), 2);  // may be on the disk or not
-  replace(configurationBody(4), 2);
+  submit(configurationBody(4), 2);  // may or may not have reached the disk
+  submit(configurationBody(4), 2);
   EXPECT_EQ(results, (std::vector{ChangeOutcome::acknowledged, ChangeOutcome::conflict,
                                   ChangeOutcome::unavailable, ChangeOutcome::notPrimary}));
 }
 
-// Three members, of which two never answer once the first change is on its way.
+// Two of three members receive no replicated state once the first change has been proposed.
 TEST(ConfigurationService, ExpiresQueuedChangesAfterASecondAndNeverRejectsAProposal) {
   struct Host : ReplicaHost {
     void send(const NodeId& to, const MemberMessage& message) override { sent.emplace_back(to, message); }
@@ -72,7 +72,7 @@
   for (const NodeId& name : names)
     replicas[name] =
         std::make_unique<Replica>(name, names, true, std::nullopt, Replica::Timing{}, 0, hosts[name]);
-  bool backupsReachable = true;
+  bool deliversStates = true;
   Millis now = 0;
   const auto step = [&] {
     now += 10;
@@ -82,7 +82,7 @@
     }
     for (const NodeId& from : names)
       for (const auto& [to, message] : std::exchange(hosts[from].sent, {}))
-        if (backupsReachable || message.kind != MemberMessage::Kind::replicate)
+        if (deliversStates || message.kind != MemberMessage::Kind::replicate)
           replicas[to]->receive(now, message);
   };
   const auto runFor = [&](Millis duration) {
@@ -97,15 +97,15 @@
                       [&](const NodeId& name) { return replicas[name]->canPropose(now); }))
     step();
   const NodeId leader = primary();
-  backupsReachable = false;
+  deliversStates = false;
   std::vector<std::pair<std::string, ChangeOutcome>> results;
-  const auto replace = [&](const std::string& bytes) {
+  const auto submit = [&](const std::string& bytes) {
     hosts[leader].service.submit(now, *replicas[leader], {bytes, 0}, [&, bytes](const ChangeResult& result) {
       results.emplace_back(bytes, result.outcome);
     });
   };
-  replace(configurationBody(1, "proposed"));
-  replace(configurationBody(1, "queued"));
+  submit(configurationBody(1, "proposed"));
+  submit(configurationBody(1, "queued"));
   runFor(900);
   EXPECT_TRUE(results.empty());
   runFor(200);
--- a/tests/control/member_links_test.cpp
+++ b/tests/control/member_links_test.cpp
@@ -1,4 +1,4 @@
-// Messages between members over sockets: states neither delay heartbeats nor queue up.
+// Messages between members over sockets: states do not delay heartbeats and do not accumulate in a queue.
 #include "control/member_links.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 using boost::asio::ip::tcp;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kLargeState = 6 << 20;  // more than the sockets between two processes hold
+constexpr std::size_t kLargeState = 6 << 20;  // exceeds the socket buffers between two processes
 
 MemberMessage heartbeat() {
   MemberMessage out;
@@ -36,15 +36,16 @@
   return out;
 }
 
-std::string textOf(const tcp::endpoint& at) {
-  return at.address().to_string() + ":" + std::to_string(at.port());
+std::string textOf(const tcp::endpoint& endpoint) {
+  return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
 class MemberLinksTest : public testing::Test {
  protected:
-  void until(const std::function<bool()>& holds) {
+  // Runs the io_context until `condition` holds; fails after 20 s.
+  void runUntil(const std::function<bool()>& condition) {
     const auto end = std::chrono::steady_clock::now() + 20s;
-    while (!holds()) {
+    while (!condition()) {
       ASSERT_LT(std::chrono::steady_clock::now(), end);
       io.restart();
       io.run_one_for(100ms);
@@ -53,8 +54,8 @@
   boost::asio::io_context io;
 };
 
-// The other member has stopped reading the connection that a state comes in on.
-TEST_F(MemberLinksTest, AHeartbeatOvertakesAStateThatIsNotRead) {
+// The receiving member has stopped reading the connection that carries the state.
+TEST_F(MemberLinksTest, DeliversAHeartbeatWhileAStateIsNotRead) {
   tcp::acceptor acceptor(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
   struct Reader {
     explicit Reader(tcp::socket from) : socket(std::move(from)) {}
@@ -68,54 +69,54 @@
       if (error) return;
       Reader& reader = readers.emplace_back(std::move(socket));
       reader.socket.async_read_some(boost::asio::buffer(reader.bytes),
-                                    [&](const boost::system::error_code& failed, std::size_t n) {
-                                      if (failed) return;
-                                      const std::string begin(reader.bytes.data(), n);
-                                      ++(begin.find("\"sync\"") != std::string::npos ? states : heartbeats);
+                                    [&](const boost::system::error_code& readError, std::size_t n) {
+                                      if (readError) return;
+                                      const std::string start(reader.bytes.data(), n);
+                                      ++(start.find("\"sync\"") != std::string::npos ? states : heartbeats);
                                     });
       accept();
     });
   };
   accept();
   MemberLinks links(io);
-  const NodeId other = textOf(acceptor.local_endpoint());
-  links.send(other, stateOf(1, kLargeState));
-  until([&] { return states == 1; });
-  links.send(other, heartbeat());
-  until([&] { return heartbeats == 1; });
+  const NodeId peer = textOf(acceptor.local_endpoint());
+  links.send(peer, stateOf(1, kLargeState));
+  runUntil([&] { return states == 1; });
+  links.send(peer, heartbeat());
+  runUntil([&] { return heartbeats == 1; });
   EXPECT_EQ(readers.size(), 2u);
 }
 
-TEST_F(MemberLinksTest, AStateInFlightIsNotSentAgain) {
+TEST_F(MemberLinksTest, DoesNotResendAStateInFlight) {
   int states = 0;
-  FrameServer::Reply held;
+  FrameServer::Reply pendingReply;
   FrameServer server(
       io, {boost::asio::ip::make_address("127.0.0.1"), 0}, 8,
       [&](Frame&& frame, const FrameServer::Reply& reply) {
         if (frame.head.at("t") != "sync") return reply({{{"t", "heard"}}, {}});
         ++states;
-        held = reply;
+        pendingReply = reply;
       },
       [](const std::string&) {});
   MemberLinks links(io);
-  const NodeId other = textOf(server.address());
-  links.send(other, stateOf(1, 100));
-  links.send(other, stateOf(1, 100));
-  until([&] { return states > 0; });
-  links.send(other, stateOf(2, 100));
-  until([&] { return states > 1; });
-  EXPECT_EQ(states, 2) << "the first state once, then the next one";
-  held({{{"t", "heard"}}, {}});
-  const int sent = states;
-  while (states == sent) {  // once it has arrived it may be sent again
-    links.send(other, stateOf(2, 100));
+  const NodeId peer = textOf(server.address());
+  links.send(peer, stateOf(1, 100));
+  links.send(peer, stateOf(1, 100));
+  runUntil([&] { return states > 0; });
+  links.send(peer, stateOf(2, 100));
+  runUntil([&] { return states > 1; });
+  EXPECT_EQ(states, 2) << "state 1 is sent once, then state 2";
+  pendingReply({{{"t", "heard"}}, {}});
+  const int statesBefore = states;
+  while (states == statesBefore) {  // a state may be resent once it is acknowledged
+    links.send(peer, stateOf(2, 100));
     io.restart();
     io.run_one_for(10ms);
   }
   EXPECT_EQ(states, 3);
 }
 
-TEST(StateTimeout, GrowsWithTheState) {
+TEST(StateTimeout, GrowsWithTheSizeOfTheState) {
   EXPECT_GE(stateTimeout(8 << 20), 2700ms) << "8 MB at a quarter of 100 Mbit/s";
   EXPECT_LE(stateTimeout(1000), 700ms);
 }
--- a/tests/control/operator_fault_injection.cpp
+++ b/tests/control/operator_fault_injection.cpp
@@ -1,5 +1,5 @@
-// Runs operators against a core with random fault injection and checks that what they observed is
-// linearizable.
+// Fault-injection runs of operators against a simulated cluster of control nodes. Checks that the history
+// that the operators observe in each run is linearizable.
 //   operator_storms FIRST COUNT [JOBS]     exit code 1: the history of a seed is not linearizable
 #include <algorithm>
 #include <atomic>
@@ -14,40 +14,40 @@
 
 using namespace lilacmux::test;
 
-constexpr double kFaultsLastMs = 20000;  // in each run
+constexpr double kFaultDurationMs = 20000;  // per run
 
-struct Sum {
+struct Totals {
   std::mutex mutex;
-  OperatorSimulation::Count count;
-  void add(const OperatorSimulation::Count& one) {
+  OperatorSimulation::Counts counts;
+  void add(const OperatorSimulation::Counts& run) {
     const std::lock_guard lock(mutex);
-    count.acknowledged += one.acknowledged;
-    count.refused += one.refused;
-    count.unknown += one.unknown;
-    count.repeats += one.repeats;
-    count.reads += one.reads;
-    count.committed += one.committed;
+    counts.acknowledged += run.acknowledged;
+    counts.rejected += run.rejected;
+    counts.unknown += run.unknown;
+    counts.repeats += run.repeats;
+    counts.reads += run.reads;
+    counts.committed += run.committed;
   }
 };
 
 }  // namespace
 
-int main(int words, char** word) {
-  if (words < 3 || words > 4) {
+int main(int argc, char** argv) {
+  if (argc < 3 || argc > 4) {
     std::fprintf(stderr, "operator_storms FIRST COUNT [JOBS]\n");
     return 2;
   }
-  const std::uint64_t first = std::strtoull(word[1], nullptr, 10);
-  const std::uint64_t end = first + std::strtoull(word[2], nullptr, 10);
-  const int jobs = words > 3 ? std::atoi(word[3]) : 1;
-  std::atomic<std::uint64_t> next = first;
+  const std::uint64_t first = std::strtoull(argv[1], nullptr, 10);
+  const std::uint64_t end = first + std::strtoull(argv[2], nullptr, 10);
+  const int jobs = argc > 3 ? std::atoi(argv[3]) : 1;
+  std::atomic<std::uint64_t> nextSeed = first;
   std::atomic<bool> failed = false;
-  Sum sum;
-  const auto work = [&] {
-    for (std::uint64_t seed = next++; seed < end && !failed; seed = next++) {
+  Totals totals;
+  const auto runSeeds = [&] {
+    for (std::uint64_t seed = nextSeed++; seed < end && !failed; seed = nextSeed++) {
       OperatorSimulation simulation(seed);
-      simulation.simulate(kFaultsLastMs);
-      sum.add(simulation.count());
+      simulation.runWithFaults(kFaultDurationMs);
+      totals.add(simulation.counts());
       if (isLinearizable(simulation.history())) continue;
       std::printf("seed %llu: the history is not linearizable\n", static_cast<unsigned long long>(seed));
       failed = true;
@@ -55,11 +55,11 @@
   };
   std::vector<std::thread> threads;
   threads.reserve(static_cast<std::size_t>(std::max(jobs, 0)));
-  for (int i = 0; i < jobs; ++i) threads.emplace_back(work);
+  for (int i = 0; i < jobs; ++i) threads.emplace_back(runSeeds);
   for (std::thread& thread : threads) thread.join();
-  const auto& c = sum.count;
+  const auto& counts = totals.counts;
   std::printf("%s; changes: %zu acknowledged, %zu refused, %zu open; %zu repeats, %zu reads, %zu commits\n",
-              failed ? "failed" : "none failed", c.acknowledged, c.refused, c.unknown, c.repeats, c.reads,
-              c.committed);
+              failed ? "failed" : "none failed", counts.acknowledged, counts.rejected, counts.unknown,
+              counts.repeats, counts.reads, counts.committed);
   return failed ? 1 : 0;
 }
--- a/tests/control/operator_history.hpp
+++ b/tests/control/operator_history.hpp
@@ -1,11 +1,11 @@
-// Histories of operators' calls, and whether they are linearizable: whether each call can be assigned one
-// moment between its start and its end, so that all of them, in that order, are valid on one register that is
-// changed by compare-and-swap.
+// Histories of operators' calls, and a check whether they are linearizable: whether each call can be assigned
+// a linearization point between its start and its end, such that all calls in this order are valid on one
+// compare-and-swap register.
 //
-// The search is that of Wing and Gong with Lowe's memory of configurations that led nowhere. It tries each
-// order that real time allows, so it is sound and complete. What keeps it short: a call that changes nothing
-// is given its moment as soon as it fits, since that can only free others; and a change fits only on the
-// revision that it names, which is current once, as revisions rise.
+// Uses the algorithm of Wing and Gong with Lowe's cache of search states that failed. It tries each order
+// that real time allows, so it is sound and complete. Two rules keep the search short. A call that changes
+// nothing is linearized as soon as it is valid, because that can only allow further calls. A change is valid
+// only on its base revision, which is current only once because revisions rise.
 #pragma once
 
 #include <algorithm>
@@ -25,12 +25,12 @@
 struct Operation {
   enum class Kind {
     change,  // from the first request sent to the first definite response
-    repeat,  // a change that was acknowledged, sent once more
+    repeat,  // resubmission of a change that was acknowledged
     read
   };
   enum class Outcome { unknown, acknowledged, conflict, invalid };
   Kind kind = Kind::change;
-  std::string body;                      // names the change; of a read, the change that it found, or nothing
+  std::string body;  // identifies the change; of a read: the change that it returned, or empty
   std::uint64_t base = 0, revision = 0;  // of a change
   double invoked = 0, returned = kNever;
   Outcome outcome = Outcome::unknown;
@@ -38,75 +38,83 @@
 
 class LinearizabilityCheck {
  public:
-  // Bodies of changes must differ.
+  // The bodies of different changes must differ.
   explicit LinearizabilityCheck(const std::vector<Operation>& history) {
-    for (const Operation& each : history)
-      if (!isIdle(each)) operations_.push_back(each);
+    for (const Operation& operation : history)
+      if (!hasNoEffect(operation)) operations_.push_back(operation);
   }
-  bool passes() {
-    Configuration start{std::vector<bool>(operations_.size(), false), kNone};
+  bool isLinearizable() {
+    SearchState start{std::vector<bool>(operations_.size(), false), kNoChange};
     return search(std::move(start));
   }
 
  private:
   using Kind = Operation::Kind;
   using Outcome = Operation::Outcome;
-  static constexpr std::size_t kNone = std::numeric_limits<std::size_t>::max();
-  struct Configuration {
+  static constexpr std::size_t kNoChange = std::numeric_limits<std::size_t>::max();
+  struct SearchState {
     std::vector<bool> done;
-    std::size_t current;  // the change that is in force
-    bool operator<(const Configuration& other) const {
+    std::size_t current;  // index of the current change
+    bool operator<(const SearchState& other) const {
       return std::tie(done, current) < std::tie(other.done, other.current);
     }
   };
 
-  // Irrelevant: it had no response and cannot have changed anything.
-  static bool isIdle(const Operation& o) { return o.kind != Kind::change && o.outcome == Outcome::unknown; }
+  // Returns whether an operation can be left out: it had no response and cannot have changed anything.
+  static bool hasNoEffect(const Operation& operation) {
+    return operation.kind != Kind::change && operation.outcome == Outcome::unknown;
+  }
 
-  std::uint64_t revisionAt(const Configuration& at) const {
-    return at.current == kNone ? 0 : operations_[at.current].revision;
+  std::uint64_t currentRevision(const SearchState& state) const {
+    return state.current == kNoChange ? 0 : operations_[state.current].revision;
   }
-  bool wasAccepted(const Configuration& at, const std::string& body) const {
+  bool wasAccepted(const SearchState& state, const std::string& body) const {
     for (std::size_t i = 0; i < operations_.size(); ++i)
-      if (at.done[i] && isAccepted(operations_[i]) && operations_[i].body == body) return true;
+      if (state.done[i] && mayHaveTakenEffect(operations_[i]) && operations_[i].body == body) return true;
     return false;
   }
-  static bool isAccepted(const Operation& o) {
-    return o.kind == Kind::change && (o.outcome == Outcome::unknown || o.outcome == Outcome::acknowledged);
+  static bool mayHaveTakenEffect(const Operation& operation) {
+    return operation.kind == Kind::change &&
+           (operation.outcome == Outcome::unknown || operation.outcome == Outcome::acknowledged);
   }
-  // Whether a call that changes nothing may have its moment now.
-  bool fits(const Configuration& at, const Operation& o) const {
-    if (o.kind == Kind::read)
-      return o.body == (at.current == kNone ? std::string() : operations_[at.current].body);
-    if (o.kind == Kind::repeat) return o.outcome == Outcome::acknowledged && wasAccepted(at, o.body);
-    return o.outcome == Outcome::invalid || (o.outcome == Outcome::conflict && revisionAt(at) != o.base);
+  // Returns whether a call that changes nothing can be linearized in `state`.
+  bool isValidNow(const SearchState& state, const Operation& operation) const {
+    if (operation.kind == Kind::read)
+      return operation.body == (state.current == kNoChange ? std::string() : operations_[state.current].body);
+    if (operation.kind == Kind::repeat)
+      return operation.outcome == Outcome::acknowledged && wasAccepted(state, operation.body);
+    return operation.outcome == Outcome::invalid ||
+           (operation.outcome == Outcome::conflict && currentRevision(state) != operation.base);
   }
 
-  // The first end among those that are still to come: nothing that starts after it can come before it.
-  double horizon(const Configuration& at) const {
+  // Returns the earliest end of the operations that are not linearized yet. Operations that start later
+  // cannot be linearized next.
+  double earliestReturn(const SearchState& state) const {
     double out = kNever;
     for (std::size_t i = 0; i < operations_.size(); ++i)
-      if (!at.done[i] && operations_[i].outcome != Outcome::unknown)
+      if (!state.done[i] && operations_[i].outcome != Outcome::unknown)
         out = std::min(out, operations_[i].returned);
     return out;
   }
 
-  bool search(Configuration at) {
-    double end = horizon(at);
+  bool search(SearchState state) {
+    double end = earliestReturn(state);
     for (std::size_t i = 0; i < operations_.size(); ++i) {
-      const Operation& o = operations_[i];
-      if (at.done[i] || isAccepted(o) || o.invoked > end || !fits(at, o)) continue;
-      at.done[i] = true;
-      end = horizon(at);
-      i = kNone;  // others may fit now: from the first again
+      const Operation& operation = operations_[i];
+      if (state.done[i] || mayHaveTakenEffect(operation) || operation.invoked > end ||
+          !isValidNow(state, operation))
+        continue;
+      state.done[i] = true;
+      end = earliestReturn(state);
+      i = kNoChange;  // others may be valid now: restart from the first
     }
     if (end == kNever) return true;
-    if (!failed_.insert(at).second) return false;
+    if (!failedStates_.insert(state).second) return false;
     for (std::size_t i = 0; i < operations_.size(); ++i) {
-      const Operation& o = operations_[i];
-      if (at.done[i] || !isAccepted(o) || o.invoked > end) continue;
-      if (o.base != revisionAt(at) || o.revision <= o.base) continue;
-      Configuration next = at;
+      const Operation& operation = operations_[i];
+      if (state.done[i] || !mayHaveTakenEffect(operation) || operation.invoked > end) continue;
+      if (operation.base != currentRevision(state) || operation.revision <= operation.base) continue;
+      SearchState next = state;
       next.done[i] = true;
       next.current = i;
       if (search(std::move(next))) return true;
@@ -115,11 +123,11 @@
   }
 
   std::vector<Operation> operations_;
-  std::set<Configuration> failed_;
+  std::set<SearchState> failedStates_;
 };
 
 inline bool isLinearizable(const std::vector<Operation>& history) {
-  return LinearizabilityCheck(history).passes();
+  return LinearizabilityCheck(history).isLinearizable();
 }
 
 }  // namespace lilacmux::test
--- a/tests/control/operator_simulation.hpp
+++ b/tests/control/operator_simulation.hpp
@@ -1,7 +1,7 @@
-// Operators and a core of control nodes, under a simulated clock, network and disk. Each node is the real
-// Replica and ConfigurationService. Two operators pick the same revision numbers, have up to four changes
-// each in flight, read, lose responses, and retry at any node, at once or much later, while faults are
-// injected. What they observed is `history`. The same seed gives the same run.
+// Simulation of operators and a cluster of control nodes, with a simulated clock, network and disk. Each node
+// runs the real Replica and ConfigurationService. Two operators use the same revision numbers and have up to
+// four changes each in flight. They read, lose responses, and retry at any node, immediately or much later,
+// while faults are injected. `history` records what they observe. Runs with the same seed are identical.
 #pragma once
 
 #include <functional>
@@ -22,57 +22,59 @@
 
 class OperatorSimulation {
  public:
-  struct Count {
-    std::size_t acknowledged = 0, refused = 0, unknown = 0, repeats = 0, reads = 0, committed = 0;
+  struct Counts {
+    std::size_t acknowledged = 0, rejected = 0, unknown = 0, repeats = 0, reads = 0, committed = 0;
   };
 
   explicit OperatorSimulation(std::uint64_t seed) : random_(seed * 0x9e3779b97f4a7c15u + 1) {
     const std::size_t members = chance() < 0.3 ? 5 : 3;
     timing_.losses = static_cast<unsigned>(members / 2);
     constexpr std::size_t kCapacities[] = {1, 2, 8, ConfigurationRegister::kDefaultCapacity};
-    capacity_ = kCapacities[below(4)];
-    answersLost_ = chance() < 0.5 ? 0.3 : 0.05;
-    messagesLost_ = chance() < 0.3 ? 0.03 : 0;
+    capacity_ = kCapacities[randomBelow(4)];
+    responseLossRate_ = chance() < 0.5 ? 0.3 : 0.05;
+    messageLossRate_ = chance() < 0.3 ? 0.03 : 0;
     for (std::size_t i = 0; i < members; ++i) names_.push_back("10.0.0." + std::to_string(i + 1) + ":7560");
     for (const NodeId& name : names_) start(name, true);
     operators_.resize(2);
     for (std::size_t i = 0; i < operators_.size(); ++i) {
-      later(1500 + 100 * chance(), [this, i] { act(i); });
-      later(1500 + 100 * chance(), [this, i] { readNow(i); });
+      schedule(1500 + 100 * chance(), [this, i] { startChange(i); });
+      schedule(1500 + 100 * chance(), [this, i] { startRead(i); });
     }
   }
 
-  // Injects faults for `span` ms, and lets the core recover afterwards.
-  void simulate(Millis span) {
-    const Millis end = 2500 + span;
-    for (Millis at = 2500; at < end; at += 200 + 3000 * chance()) later(at, [this] { injectFault(); });
-    run(end);
-    acting_ = false;
-    run(now_ + kLongestFault + kQuietPeriod);
+  // Injects faults for `faultDuration` ms, then lets the core recover.
+  void runWithFaults(Millis faultDuration) {
+    const Millis end = 2500 + faultDuration;
+    for (Millis time = 2500; time < end; time += 200 + 3000 * chance())
+      schedule(time, [this] { injectFault(); });
+    runUntil(end);
+    operatorsActive_ = false;
+    runUntil(now_ + kLongestFault + kRecoveryPeriod);
   }
 
   const std::vector<Operation>& history() const { return history_; }
-  Count count() const {
-    Count out;
-    out.committed = commits_;
-    for (const Operation& o : history_) {
-      if (o.kind == Operation::Kind::read) ++out.reads;
-      if (o.kind == Operation::Kind::repeat) ++out.repeats;
-      if (o.kind != Operation::Kind::change) continue;
-      if (o.outcome == Operation::Outcome::acknowledged) ++out.acknowledged;
-      if (o.outcome == Operation::Outcome::conflict) ++out.refused;
-      if (o.outcome == Operation::Outcome::unknown) ++out.unknown;
+  Counts counts() const {
+    Counts out;
+    out.committed = commitCount_;
+    for (const Operation& operation : history_) {
+      if (operation.kind == Operation::Kind::read) ++out.reads;
+      if (operation.kind == Operation::Kind::repeat) ++out.repeats;
+      if (operation.kind != Operation::Kind::change) continue;
+      if (operation.outcome == Operation::Outcome::acknowledged) ++out.acknowledged;
+      if (operation.outcome == Operation::Outcome::conflict) ++out.rejected;
+      if (operation.outcome == Operation::Outcome::unknown) ++out.unknown;
     }
     return out;
   }
 
  private:
-  static constexpr Millis kLongestFault = 20000, kQuietPeriod = 8000;
-  // Without a response for this long an operator retries; with a large body it waits for longer.
+  static constexpr Millis kLongestFault = 20000, kRecoveryPeriod = 8000;
+  // Time without a response after which an operator retries.
   static constexpr Millis kResponseTimeout = 1000, kLargeBodyTimeout = 5000;
-  static constexpr double kLargeShare = 0.2, kDelayedShare = 0.1;  // of the changes, and of the requests
+  static constexpr double kLargeBodyShare = 0.2;       // of the changes
+  static constexpr double kDelayedRequestShare = 0.1;  // of the requests
   static constexpr unsigned kMaxRedirects = 2;
-  static constexpr std::size_t kMaxInFlight = 4;  // of each operator
+  static constexpr std::size_t kMaxInFlight = 4;  // per operator
 
   struct Host : ReplicaHost {
     Host(OperatorSimulation& owner, NodeId name) : simulation(owner), self(std::move(name)) {}
@@ -81,15 +83,15 @@
     }
     bool store(const DurableState& durable) override {
       Node& node = simulation.nodes_[self];
-      if (node.syncDuration > 0)
-        node.frozenUntil = std::max(node.frozenUntil, simulation.now_ + node.syncDuration);
+      if (node.storeDelay > 0)
+        node.frozenUntil = std::max(node.frozenUntil, simulation.now_ + node.storeDelay);
       node.disk = durable;
       return true;
     }
     void committed(const ReplicatedState& state) override {
       simulation.recordCommit(state);
       simulation.nodes_[self].service->onCommitted();
-      simulation.at(self, 0, [owner = &simulation, name = self] { owner->processQueue(name); });
+      simulation.scheduleAt(self, 0, [owner = &simulation, name = self] { owner->processQueue(name); });
     }
     void lostPrimacy() override { simulation.nodes_[self].service->onPrimacyLost(); }
     void log(const std::string&) override {}
@@ -101,71 +103,75 @@
     std::unique_ptr<Replica> replica;
     std::unique_ptr<ConfigurationService> service;
     std::optional<DurableState> disk;
-    Millis frozenUntil = 0, syncDuration = 0;
+    Millis frozenUntil = 0, storeDelay = 0;
     std::uint64_t incarnation = 0;
   };
   struct Event {
-    Millis at;
+    Millis time;
     std::uint64_t number;
-    std::function<void()> what;
-    bool operator<(const Event& o) const { return at != o.at ? at > o.at : number > o.number; }
+    std::function<void()> action;
+    bool operator<(const Event& other) const {
+      return time != other.time ? time > other.time : number > other.number;
+    }
   };
   struct Operator {
-    std::uint64_t known = 0;  // the newest revision that it was informed of
-    std::uint64_t sent = 0;   // the highest that it has requested
+    std::uint64_t knownRevision = 0;        // newest revision known from responses
+    std::uint64_t highestSentRevision = 0;  // highest revision that the operator has submitted
     std::size_t inFlight = 0;
   };
-  // One change or read until it has a definite response.
+  // A change or read that has no definite response yet.
   struct Call {
-    std::size_t who = 0;
-    std::size_t operation = 0;  // in the history
-    std::string bytes;          // empty: a read
+    std::size_t operatorIndex = 0;
+    std::size_t operation = 0;  // index in the history
+    std::string bytes;          // empty for a read
     std::uint64_t base = 0, revision = 0;
-    std::uint64_t attempt = 0;  // responses to earlier attempts are ignored
+    std::uint64_t attempt = 0;  // number of the newest attempt; responses to earlier ones are ignored
     Millis backoff = 50, deadline = 0, responseTimeout = kResponseTimeout;
-    bool late = false;
+    bool hasReleasedSlot = false;  // no longer counted in Operator::inFlight
   };
   using CallPtr = std::shared_ptr<Call>;
   struct Reply {
     ChangeOutcome outcome = ChangeOutcome::unavailable;
     NodeId redirect;
-    std::string read;  // the body that a read found
+    std::string body;  // body returned by a read
     std::uint64_t revision = 0;
   };
 
   double chance() { return std::uniform_real_distribution<>(0, 1)(random_); }
-  std::size_t below(std::size_t most) { return static_cast<std::size_t>(random_() % most); }
+  std::size_t randomBelow(std::size_t bound) { return static_cast<std::size_t>(random_() % bound); }
 
   // --- Time and nodes
 
-  void later(Millis after, std::function<void()> what) {
-    events_.push({now_ + after, ++numbers_, std::move(what)});
+  void schedule(Millis delay, std::function<void()> action) {
+    events_.push({now_ + delay, ++scheduledCount_, std::move(action)});
   }
-  void run(Millis until) {
-    while (!events_.empty() && events_.top().at <= until) {
+  void runUntil(Millis end) {
+    while (!events_.empty() && events_.top().time <= end) {
       const Event event = events_.top();
       events_.pop();
-      now_ = event.at;
-      event.what();
+      now_ = event.time;
+      event.action();
     }
-    now_ = until;
+    now_ = end;
   }
-  // Runs at a node, if it is not restarted before; events at a frozen node are deferred in their order.
-  void at(const NodeId& name, Millis after, std::function<void()> what) {
+  // Schedules an action at a node, which is dropped if the node restarts first. Actions at a frozen node are
+  // deferred in order.
+  void scheduleAt(const NodeId& name, Millis delay, std::function<void()> action) {
     const std::uint64_t incarnation = nodes_[name].incarnation;
-    later(after, [this, name, incarnation, what = std::move(what)] { deliver(name, incarnation, what); });
+    schedule(delay,
+             [this, name, incarnation, action = std::move(action)] { deliver(name, incarnation, action); });
   }
-  void deliver(const NodeId& name, std::uint64_t incarnation, const std::function<void()>& what) {
+  void deliver(const NodeId& name, std::uint64_t incarnation, const std::function<void()>& action) {
     Node& node = nodes_[name];
     if (!node.replica || node.incarnation != incarnation) return;
-    if (now_ >= node.frozenUntil) return what();
-    events_.push({node.frozenUntil, ++numbers_,
-                  [this, name, incarnation, what] { deliver(name, incarnation, what); }});
+    if (now_ >= node.frozenUntil) return action();
+    events_.push({node.frozenUntil, ++scheduledCount_,
+                  [this, name, incarnation, action] { deliver(name, incarnation, action); }});
   }
   Millis frozenFor(const NodeId& name) { return std::max(0.0, nodes_[name].frozenUntil - now_); }
   void sendMessage(const NodeId& from, const NodeId& to, const MemberMessage& message) {
-    if (partitions_.contains({from, to}) || chance() < messagesLost_) return;
-    at(to, 1 + 4 * chance() + frozenFor(from), [this, to, from, message] {
+    if (partitions_.contains({from, to}) || chance() < messageLossRate_) return;
+    scheduleAt(to, 1 + 4 * chance() + frozenFor(from), [this, to, from, message] {
       if (!partitions_.contains({from, to})) nodes_[to].replica->receive(now_, message);
     });
   }
@@ -180,74 +186,75 @@
   void tick(const NodeId& name) {
     nodes_[name].replica->tick(now_);
     processQueue(name);
-    at(name, 100 + chance(), [this, name] { tick(name); });
+    scheduleAt(name, 100 + chance(), [this, name] { tick(name); });
   }
   void processQueue(const NodeId& name) { nodes_[name].service->processQueue(now_, *nodes_[name].replica); }
-  void kill(const NodeId& name, Millis lasts) {
+  void kill(const NodeId& name, Millis duration) {
     Node& node = nodes_[name];
     if (!node.replica) return;
     node.replica.reset();
     node.service.reset();
     node.frozenUntil = 0;
-    later(lasts, [this, name] {
+    schedule(duration, [this, name] {
       if (!nodes_[name].replica) start(name, false);
     });
   }
-  void partition(const NodeId& from, const NodeId& to, Millis lasts) {
+  void partition(const NodeId& from, const NodeId& to, Millis duration) {
     if (from == to || !partitions_.insert({from, to}).second) return;
-    later(lasts, [this, from, to] { partitions_.erase({from, to}); });
+    schedule(duration, [this, from, to] { partitions_.erase({from, to}); });
   }
   void injectFault() {
-    const NodeId one = leaderOrAny();
-    const Millis lasts = chance() < 0.2 ? kLongestFault : 3000 * chance();
-    switch (below(7)) {
+    const NodeId target = pickFaultTarget();
+    const Millis duration = chance() < 0.2 ? kLongestFault : 3000 * chance();
+    switch (randomBelow(7)) {
       case 0:
-        return kill(one, lasts / 4);
+        return kill(target, duration / 4);
       case 1:
         for (const NodeId& name : names_) kill(name, 300 * chance());
         return;
       case 2:
-        nodes_[one].frozenUntil = now_ + lasts / 2;
+        nodes_[target].frozenUntil = now_ + duration / 2;
         return;
       case 3:
-        nodes_[one].syncDuration = 400 * chance();
-        return later(lasts, [this, one] { nodes_[one].syncDuration = 0; });
+        nodes_[target].storeDelay = 400 * chance();
+        return schedule(duration, [this, target] { nodes_[target].storeDelay = 0; });
       case 4:
-        return partition(one, names_[below(names_.size())], lasts);
+        return partition(target, names_[randomBelow(names_.size())], duration);
       default:
-        for (const NodeId& name : names_) partition(one, name, lasts), partition(name, one, lasts);
+        for (const NodeId& name : names_)
+          partition(target, name, duration), partition(name, target, duration);
     }
   }
-  NodeId leaderOrAny() {
+  NodeId pickFaultTarget() {
     for (const NodeId& name : names_)
       if (nodes_[name].replica && nodes_[name].replica->isPrimary() && chance() < 0.7) return name;
-    return names_[below(names_.size())];
+    return names_[randomBelow(names_.size())];
   }
 
-  // A commit at a primary counts as a read of the committed body at that moment.
+  // Records a commit at a primary as a read of the committed body at that time.
   void recordCommit(const ReplicatedState& state) {
-    if (state.revision == lastCommitted_ || !state.body) return;
-    lastCommitted_ = state.revision;
-    ++commits_;
+    if (state.revision == lastCommittedRevision_ || !state.body) return;
+    lastCommittedRevision_ = state.revision;
+    ++commitCount_;
     history_.push_back(
         {Operation::Kind::read, *state.body, 0, 0, now_, now_, Operation::Outcome::acknowledged});
   }
 
   // --- Operators
 
-  void act(std::size_t who) {
-    if (!acting_) return;
-    later(50 + 500 * chance(), [this, who] { act(who); });
-    Operator& self = operators_[who];
+  void startChange(std::size_t operatorIndex) {
+    if (!operatorsActive_) return;
+    schedule(50 + 500 * chance(), [this, operatorIndex] { startChange(operatorIndex); });
+    Operator& self = operators_[operatorIndex];
     if (self.inFlight >= kMaxInFlight) return;
     ++self.inFlight;
     auto call = std::make_shared<Call>();
-    call->who = who;
-    call->base = chance() < 0.3 ? std::max(self.sent, self.known) : self.known;
-    call->revision = call->base + below(20) / 5;  // 0: not valid
-    self.sent = std::max(self.sent, call->revision);
+    call->operatorIndex = operatorIndex;
+    call->base = chance() < 0.3 ? std::max(self.highestSentRevision, self.knownRevision) : self.knownRevision;
+    call->revision = call->base + randomBelow(20) / 5;  // an increment of 0 is invalid
+    self.highestSentRevision = std::max(self.highestSentRevision, call->revision);
     call->deadline = now_ + 2000 + 5000 * chance();
-    if (chance() < kLargeShare) call->responseTimeout = kLargeBodyTimeout;
+    if (chance() < kLargeBodyShare) call->responseTimeout = kLargeBodyTimeout;
     call->operation = history_.size();
     const nlohmann::json configuration = {{"revision", call->revision},
                                           {"routeRules", nlohmann::json::array()},
@@ -257,53 +264,54 @@
     call->bytes.assign(bytes.begin(), bytes.end());
     history_.push_back({Operation::Kind::change, call->bytes, call->base, call->revision, now_, kNever,
                         Operation::Outcome::unknown});
-    send(call, names_[below(names_.size())], 0);
+    send(call, names_[randomBelow(names_.size())], 0);
   }
-  void readNow(std::size_t who) {
-    if (acting_ || now_ < lastRead_ + kLongestFault)
-      later(100 + 600 * chance(), [this, who] { readNow(who); });
-    if (acting_) lastRead_ = now_ + kQuietPeriod;
+  void startRead(std::size_t operatorIndex) {
+    if (operatorsActive_ || now_ < lastReadAt_ + kLongestFault)
+      schedule(100 + 600 * chance(), [this, operatorIndex] { startRead(operatorIndex); });
+    if (operatorsActive_) lastReadAt_ = now_ + kRecoveryPeriod;
     auto call = std::make_shared<Call>();
-    call->who = who;
+    call->operatorIndex = operatorIndex;
     call->deadline = now_ + 1500;
     call->operation = history_.size();
     history_.push_back({Operation::Kind::read, "", 0, 0, now_, kNever, Operation::Outcome::unknown});
-    send(call, names_[below(names_.size())], 0);
+    send(call, names_[randomBelow(names_.size())], 0);
   }
   void send(const CallPtr& call, const NodeId& to, unsigned redirects) {
     const std::uint64_t attempt = ++call->attempt;
-    const Millis delay = chance() < kDelayedShare ? 4000 * chance() : 8 * chance();
-    at(to, 1 + delay, [this, call, attempt, to, redirects] { arrive(call, attempt, to, redirects); });
-    later(call->responseTimeout, [this, call, attempt] {
+    const Millis delay = chance() < kDelayedRequestShare ? 4000 * chance() : 8 * chance();
+    scheduleAt(to, 1 + delay,
+               [this, call, attempt, to, redirects] { handleRequest(call, attempt, to, redirects); });
+    schedule(call->responseTimeout, [this, call, attempt] {
       if (call->attempt == attempt) retry(call);
     });
   }
-  void arrive(const CallPtr& call, std::uint64_t attempt, const NodeId& to, unsigned redirects) {
+  void handleRequest(const CallPtr& call, std::uint64_t attempt, const NodeId& to, unsigned redirects) {
     Node& node = nodes_[to];
     const auto respond = [this, call, attempt, to, redirects](const Reply& reply) {
-      if (chance() < answersLost_) return;
-      later(1 + 8 * chance() + frozenFor(to), [this, call, attempt, redirects, reply] {
-        if (call->attempt == attempt) answered(call, reply, redirects);
+      if (chance() < responseLossRate_) return;
+      schedule(1 + 8 * chance() + frozenFor(to), [this, call, attempt, redirects, reply] {
+        if (call->attempt == attempt) handleReply(call, reply, redirects);
       });
     };
     if (call->bytes.empty()) return read(*node.replica, to, respond);
     node.service->submit(now_, *node.replica, {call->bytes, call->base},
                          [this, to, respond](const ChangeResult& result) {
                            Reply reply{result.outcome, {}, {}, 0};
-                           if (result.outcome == ChangeOutcome::notPrimary) reply.redirect = leaderAt(to);
+                           if (result.outcome == ChangeOutcome::notPrimary) reply.redirect = knownLeader(to);
                            respond(reply);
                          });
   }
-  NodeId leaderAt(const NodeId& name) {
+  NodeId knownLeader(const NodeId& name) {
     const NodeId leader = nodes_[name].replica->leader();
     return leader == name ? NodeId() : leader;
   }
-  void read(const Replica& replica, const NodeId& at, const std::function<void(const Reply&)>& respond) {
-    if (!replica.hasLease(now_)) return respond({ChangeOutcome::notPrimary, leaderAt(at), {}, 0});
+  void read(const Replica& replica, const NodeId& node, const std::function<void(const Reply&)>& respond) {
+    if (!replica.hasLease(now_)) return respond({ChangeOutcome::notPrimary, knownLeader(node), {}, 0});
     const ReplicatedState& state = replica.committed();
     respond({ChangeOutcome::acknowledged, {}, state.body ? *state.body : std::string(), state.revision});
   }
-  void answered(const CallPtr& call, const Reply& reply, unsigned redirects) {
+  void handleReply(const CallPtr& call, const Reply& reply, unsigned redirects) {
     switch (reply.outcome) {
       case ChangeOutcome::acknowledged:
         return finish(call, Operation::Outcome::acknowledged, reply);
@@ -324,66 +332,66 @@
     const std::uint64_t attempt = ++call->attempt;
     if (now_ >= call->deadline) return giveUp(call);
     call->backoff = std::min(1000.0, call->backoff * 1.6);
-    later(call->backoff * (0.5 + chance()), [this, call, attempt] {
-      if (call->attempt == attempt) send(call, names_[below(names_.size())], 0);
+    schedule(call->backoff * (0.5 + chance()), [this, call, attempt] {
+      if (call->attempt == attempt) send(call, names_[randomBelow(names_.size())], 0);
     });
   }
-  // Some are retried much later.
+  // Ends the regular attempts of a call. Some calls are retried much later.
   void giveUp(const CallPtr& call) {
     if (call->bytes.empty()) return;
-    if (!call->late) endChange(*call);
+    if (!call->hasReleasedSlot) releaseSlot(*call);
     if (chance() < 0.4) return;
-    call->late = true;
-    later(1000 + 12000 * chance(), [this, call] {
+    call->hasReleasedSlot = true;
+    schedule(1000 + 12000 * chance(), [this, call] {
       call->deadline = now_ + 4000;
-      send(call, names_[below(names_.size())], 0);
+      send(call, names_[randomBelow(names_.size())], 0);
     });
   }
-  void endChange(const Call& call) {
-    if (history_[call.operation].kind == Operation::Kind::change) --operators_[call.who].inFlight;
+  void releaseSlot(const Call& call) {
+    if (history_[call.operation].kind == Operation::Kind::change) --operators_[call.operatorIndex].inFlight;
   }
   void finish(const CallPtr& call, Operation::Outcome outcome, const Reply& reply) {
     ++call->attempt;
-    Operation& done = history_[call->operation];
-    done.outcome = outcome;
-    done.returned = now_;
-    Operator& self = operators_[call->who];
-    if (done.kind == Operation::Kind::read) {
-      done.body = reply.read;
-      self.known = std::max(self.known, reply.revision);
+    Operation& operation = history_[call->operation];
+    operation.outcome = outcome;
+    operation.returned = now_;
+    Operator& self = operators_[call->operatorIndex];
+    if (operation.kind == Operation::Kind::read) {
+      operation.body = reply.body;
+      self.knownRevision = std::max(self.knownRevision, reply.revision);
       return;
     }
-    if (!call->late) endChange(*call);
+    if (!call->hasReleasedSlot) releaseSlot(*call);
     if (outcome != Operation::Outcome::acknowledged) return;
-    self.known = std::max(self.known, call->revision);
-    if (chance() < 0.3) later(chance() * chance() * 8000, [this, call] { repeat(*call); });
+    self.knownRevision = std::max(self.knownRevision, call->revision);
+    if (chance() < 0.3) schedule(chance() * chance() * 8000, [this, call] { startRepeat(*call); });
   }
-  void repeat(const Call& before) {
-    auto call = std::make_shared<Call>(before);
+  void startRepeat(const Call& original) {
+    auto call = std::make_shared<Call>(original);
     call->attempt = 0;
-    call->late = true;
+    call->hasReleasedSlot = true;
     call->deadline = now_ + 3000;
     call->operation = history_.size();
     history_.push_back({Operation::Kind::repeat, call->bytes, call->base, call->revision, now_, kNever,
                         Operation::Outcome::unknown});
-    send(call, names_[below(names_.size())], 0);
+    send(call, names_[randomBelow(names_.size())], 0);
   }
 
   std::mt19937_64 random_;
   Replica::Timing timing_;
   std::size_t capacity_ = 0;
-  double answersLost_ = 0, messagesLost_ = 0;
+  double responseLossRate_ = 0, messageLossRate_ = 0;
   std::vector<NodeId> names_;
   std::map<NodeId, Node> nodes_;
-  std::set<std::pair<NodeId, NodeId>> partitions_;  // one way
+  std::set<std::pair<NodeId, NodeId>> partitions_;  // from, to; messages in this direction are lost
   std::priority_queue<Event> events_;
-  std::uint64_t numbers_ = 0;
-  Millis now_ = 0, lastRead_ = 0;
-  bool acting_ = true;
+  std::uint64_t scheduledCount_ = 0;
+  Millis now_ = 0, lastReadAt_ = 0;
+  bool operatorsActive_ = true;
   std::vector<Operator> operators_;
   std::vector<Operation> history_;
-  std::uint64_t lastCommitted_ = 0;
-  std::size_t commits_ = 0;
+  std::uint64_t lastCommittedRevision_ = 0;
+  std::size_t commitCount_ = 0;
 };
 
 }  // namespace lilacmux::test
--- a/tests/control/operator_simulation_test.cpp
+++ b/tests/control/operator_simulation_test.cpp
@@ -1,4 +1,4 @@
-// What operators see of the configuration while faults are injected.
+// Linearizability of the configuration as operators observe it while faults are injected.
 #include "operator_simulation.hpp"
 
 #include <gtest/gtest.h>
@@ -6,23 +6,23 @@
 namespace lilacmux::test {
 namespace {
 
-TEST(Operators, SeeOneRegisterThroughFaults) {
+TEST(OperatorSimulation, HistoriesAreLinearizableUnderFaults) {
   constexpr std::uint64_t kSeeds = 300;
-  OperatorSimulation::Count sum;
+  OperatorSimulation::Counts sum;
   for (std::uint64_t seed = 0; seed < kSeeds; ++seed) {
     OperatorSimulation simulation(seed);
-    simulation.simulate(20000);
+    simulation.runWithFaults(20000);
     ASSERT_TRUE(isLinearizable(simulation.history())) << "seed " << seed;
-    const auto count = simulation.count();
-    EXPECT_GT(count.committed, 0u) << "seed " << seed;
-    sum.acknowledged += count.acknowledged;
-    sum.refused += count.refused;
-    sum.unknown += count.unknown;
-    sum.repeats += count.repeats;
+    const auto counts = simulation.counts();
+    EXPECT_GT(counts.committed, 0u) << "seed " << seed;
+    sum.acknowledged += counts.acknowledged;
+    sum.rejected += counts.rejected;
+    sum.unknown += counts.unknown;
+    sum.repeats += counts.repeats;
   }
-  // The world is one in which things happen.
+  // The runs must contain enough operations of each kind.
   EXPECT_GT(sum.acknowledged, 10 * kSeeds);
-  EXPECT_GT(sum.refused, 10 * kSeeds);
+  EXPECT_GT(sum.rejected, 10 * kSeeds);
   EXPECT_GT(sum.unknown, 5 * kSeeds);
   EXPECT_GT(sum.repeats, 3 * kSeeds);
 }
--- a/tests/discovery/addresses.hpp
+++ b/tests/discovery/addresses.hpp
@@ -1,4 +1,4 @@
-// Addresses for the tests of discovery.
+// Addresses for the discovery tests.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace lilacmux::test {
 
-// 10.0.0.n:7560
+// Returns 10.0.0.n:7560.
 inline Endpoint endpoint(unsigned n) { return parseAddress("10.0.0." + std::to_string(n) + ":7560", "test"); }
 inline NodeId nodeId(unsigned n) { return textOf(endpoint(n)); }
 
--- a/tests/discovery/discovery_run_test.cpp
+++ b/tests/discovery/discovery_run_test.cpp
@@ -1,5 +1,5 @@
-// Every process finds the core, whatever seeds the settings name and whatever was forgotten: simulated runs
-// of the real cores, drawn by seed.
+// Simulated discovery runs with the real state machines: every process finds the core for any seeds in the
+// settings and after any loss of saved peers. The seed of a run determines its faults.
 #include <gtest/gtest.h>
 
 #include "experiment/discovery.hpp"
@@ -14,7 +14,7 @@
   return runDiscoveries(plan, count, 2);
 }
 
-TEST(DiscoveryRuns, AllFollowThePrimarySoonAfterTheLastFault) {
+TEST(DiscoveryRuns, AllProcessesFollowThePrimaryWithin5sOfTheLastFault) {
   const DiscoverySummary summary = runMany(DiscoveryMutant::none, 1500);
   EXPECT_EQ(summary.runs, 1500u);
   EXPECT_GT(summary.connected, 1000u);
@@ -27,12 +27,12 @@
   EXPECT_FALSE(runMany(DiscoveryMutant::reloadIgnoresSeeds, 400).failedSeeds.empty());
 }
 
-TEST(DiscoveryRuns, AreTheSameAgainWithTheSameSeed) {
+TEST(DiscoveryRuns, AreReproducibleWithTheSameSeed) {
   DiscoveryPlan plan;
   plan.seed = 97;
-  const DiscoveryRun one = runDiscovery(plan), again = runDiscovery(plan);
-  EXPECT_EQ(one.trace, again.trace);
-  EXPECT_EQ(one.convergenceMs, again.convergenceMs);
+  const DiscoveryRun first = runDiscovery(plan), second = runDiscovery(plan);
+  EXPECT_EQ(first.trace, second.trace);
+  EXPECT_EQ(first.convergenceMs, second.convergenceMs);
 }
 
 }  // namespace
--- a/tests/discovery/endpoint_selector_test.cpp
+++ b/tests/discovery/endpoint_selector_test.cpp
@@ -1,4 +1,4 @@
-// In which order a follower tries endpoints.
+// The order in which a follower tries endpoints.
 #include "discovery/endpoint_selector.hpp"
 
 #include <gtest/gtest.h>
@@ -10,35 +10,36 @@
 namespace lilacmux::test {
 namespace {
 
-TEST(EndpointSelector, EachEndpointIsTriedOnceAPass) {
+TEST(EndpointSelector, TriesEachEndpointOncePerPass) {
   EndpointSelector selector({endpoint(1), endpoint(2)});
   EXPECT_EQ(selector.next(), endpoint(1));
   selector.setCore(5, {endpoint(8), endpoint(9)});
-  EXPECT_EQ(selector.next(), endpoint(8)) << "what becomes known during a pass is tried in the same pass";
+  EXPECT_EQ(selector.next(), endpoint(8))
+      << "an endpoint that becomes known during a pass is tried in the same pass";
   EXPECT_EQ(selector.next(), endpoint(9));
   EXPECT_EQ(selector.next(), endpoint(2));
-  EXPECT_EQ(selector.next(), endpoint(8)) << "another pass";
+  EXPECT_EQ(selector.next(), endpoint(8)) << "a new pass starts";
 }
 
-TEST(EndpointSelector, NoHintHidesASeedOrTheNewestCore) {
+TEST(EndpointSelector, StaleHintsDoNotHideSeedsOrTheNewestCore) {
   EndpointSelector selector({endpoint(1)});
   selector.setCore(5, {endpoint(8)});
   for (unsigned stale = 100; stale < 200; ++stale) selector.setCore(4, {endpoint(stale % 250)});
   const auto all = selector.endpoints();
-  for (const Endpoint& each : {endpoint(1), endpoint(8)})
-    EXPECT_NE(std::find(all.begin(), all.end(), each), all.end()) << each;
+  for (const Endpoint& expected : {endpoint(1), endpoint(8)})
+    EXPECT_NE(std::find(all.begin(), all.end(), expected), all.end()) << expected;
   EXPECT_LT(all.size(), 10u);
 }
 
-TEST(EndpointSelector, AResponsiveEndpointIsTriedLastInTheNextPass) {
+TEST(EndpointSelector, TriesALostEndpointLastInTheNextPass) {
   EndpointSelector selector({endpoint(1), endpoint(2)});
   selector.setPreferred({endpoint(3), endpoint(4)});
   EXPECT_EQ(selector.next(), endpoint(3));
   selector.markResponsive(endpoint(3));
-  EXPECT_EQ(selector.next(), endpoint(4)) << "it was lost";
+  EXPECT_EQ(selector.next(), endpoint(4)) << "the responsive endpoint was lost";
 }
 
-TEST(EndpointSelector, NewSettingsReplaceTheSeeds) {
+TEST(EndpointSelector, SetSeedsReplacesTheSeeds) {
   EndpointSelector selector({endpoint(1)});
   EXPECT_EQ(selector.next(), endpoint(1));
   selector.setSeeds({endpoint(2)});
--- a/tests/discovery/peer_announcement_test.cpp
+++ b/tests/discovery/peer_announcement_test.cpp
@@ -8,18 +8,18 @@
 namespace lilacmux::test {
 namespace {
 
-TEST(PeerAnnouncementTest, IsReadBackAsItWasWritten) {
+TEST(PeerAnnouncementTest, SurvivesEncodingAndDecoding) {
   const PeerAnnouncement announcement{nodeId(1), true, {77, {nodeId(1), nodeId(2)}}, {nodeId(9)}};
-  const auto read = parsePeerAnnouncement(toFrame(announcement));
-  ASSERT_TRUE(read);
-  EXPECT_EQ(read->from, announcement.from);
-  EXPECT_TRUE(read->isMember);
-  EXPECT_EQ(read->core.epoch, 77u);
-  EXPECT_EQ(read->core.members, announcement.core.members);
-  EXPECT_EQ(read->peers, announcement.peers);
+  const auto parsed = parsePeerAnnouncement(toFrame(announcement));
+  ASSERT_TRUE(parsed);
+  EXPECT_EQ(parsed->from, announcement.from);
+  EXPECT_TRUE(parsed->isMember);
+  EXPECT_EQ(parsed->core.epoch, 77u);
+  EXPECT_EQ(parsed->core.members, announcement.core.members);
+  EXPECT_EQ(parsed->peers, announcement.peers);
 }
 
-TEST(PeerAnnouncementTest, IsRejectedIfANodeIsNoAddress) {
+TEST(PeerAnnouncementTest, IsRejectedIfANodeIsNotAnAddress) {
   for (const PeerAnnouncement& announcement :
        {PeerAnnouncement{"nobody", true, {}, {}}, PeerAnnouncement{nodeId(1), true, {1, {"10.0.0.1"}}, {}},
         PeerAnnouncement{nodeId(1), true, {}, {":80"}}})
--- a/tests/discovery/peer_directory_test.cpp
+++ b/tests/discovery/peer_directory_test.cpp
@@ -1,4 +1,4 @@
-// To whom a control process announces itself, and what it keeps of what it receives.
+// Which peers a control process announces itself to, and which peers and views it retains.
 #include "discovery/peer_directory.hpp"
 
 #include <gtest/gtest.h>
@@ -13,10 +13,10 @@
 class PeerDirectoryTest : public ::testing::Test {
  protected:
   PeerDirectory make(unsigned self, const std::vector<NodeId>& seeds,
-                     const std::vector<NodeId>& remembered = {}) {
-    return {nodeId(self), seeds, remembered, {}};
+                     const std::vector<NodeId>& savedPeers = {}) {
+    return {nodeId(self), seeds, savedPeers, {}};
   }
-  // An announcement and its answer.
+  // Delivers an announcement and the response to it.
   void exchange(PeerDirectory& from, PeerDirectory& to) {
     to.recordAnnouncement(now, from.announcement());
     from.recordAnnouncement(now, to.announcement());
@@ -24,7 +24,7 @@
   PeerDirectory::Millis now = 0;
 };
 
-TEST_F(PeerDirectoryTest, AProcessWithoutADiskLearnsTheCoreFromAMemberThatHasItAsASeed) {
+TEST_F(PeerDirectoryTest, ADisklessProcessLearnsTheCoreFromAMemberThatNamesItAsASeed) {
   auto member = make(1, {nodeId(9)});
   member.setLocalView({7, {nodeId(1), nodeId(2), nodeId(3)}}, true);
   auto diskless = make(9, {nodeId(8)});
@@ -33,7 +33,7 @@
   EXPECT_EQ(diskless.core().members, (std::vector<NodeId>{nodeId(1), nodeId(2), nodeId(3)}));
 }
 
-TEST_F(PeerDirectoryTest, AnnouncesToASeedUntilItResponds) {
+TEST_F(PeerDirectoryTest, RetriesASeedUntilItRespondsAndThenRefreshesIt) {
   auto one = make(1, {nodeId(9)});
   unsigned sent = 0;
   for (now = 0; now < 10000; now += 100)
@@ -41,17 +41,17 @@
       ++sent;
       one.recordFailure(now, peer);
     }
-  EXPECT_GE(sent, 10u) << "at least once a second, however often it has failed";
+  EXPECT_GE(sent, 10u) << "at least once a second, whatever the number of failures";
   auto seed = make(9, {nodeId(8)});
   exchange(one, seed);
   EXPECT_TRUE(one.takeDuePeers(now + 100).empty());
-  EXPECT_FALSE(one.takeDuePeers(now + 4000).empty()) << "it may have lost what it was sent";
+  EXPECT_FALSE(one.takeDuePeers(now + 4000).empty()) << "the seed may have lost the announcement";
 }
 
 TEST_F(PeerDirectoryTest, ForwardsANewViewToPeersThatLackIt) {
-  auto middle = make(5, {nodeId(1)}), other = make(9, {nodeId(5)});
-  exchange(other, middle);
-  EXPECT_TRUE(other.core().members.empty());
+  auto middle = make(5, {nodeId(1)}), outdated = make(9, {nodeId(5)});
+  exchange(outdated, middle);
+  EXPECT_TRUE(outdated.core().members.empty());
   auto member = make(1, {nodeId(5)});
   member.setLocalView({7, {nodeId(1)}}, true);
   now = 1000;
@@ -60,16 +60,16 @@
   EXPECT_NE(std::find(due.begin(), due.end(), nodeId(9)), due.end());
 }
 
-// A view of an older epoch, genuine or invented, never replaces a newer one.
-TEST_F(PeerDirectoryTest, AnOlderViewChangesNothing) {
+// A view of an older epoch, genuine or forged, never replaces a newer one.
+TEST_F(PeerDirectoryTest, IgnoresViewsOfOlderEpochs) {
   auto one = make(5, {nodeId(1)});
   one.setLocalView({7, {nodeId(1), nodeId(2)}}, false);
   one.recordAnnouncement(now, {nodeId(6), false, {6, {nodeId(3)}}, {}});
   EXPECT_EQ(one.core().members, (std::vector<NodeId>{nodeId(1), nodeId(2)}));
 }
 
-// A peer that reports itself a member is a candidate, whatever epochs others report.
-TEST_F(PeerDirectoryTest, AMemberThatAnnouncesItselfIsACandidateBesideAnyView) {
+// A peer that reports itself as a member is a candidate even if another peer reports a newer epoch.
+TEST_F(PeerDirectoryTest, ASelfReportedMemberIsACandidateInAdditionToAnyView) {
   auto one = make(5, {nodeId(1)});
   one.recordAnnouncement(now, {nodeId(6), false, {1u << 30, {nodeId(77)}}, {}});
   one.recordAnnouncement(now, {nodeId(2), true, {7, {nodeId(2)}}, {}});
@@ -86,11 +86,11 @@
         {nodeId(3), false, {}, {"10.1." + std::to_string(n / 250) + "." + std::to_string(n % 250) + ":1"}});
   const auto peers = one.knownPeers();
   EXPECT_LT(peers.size(), 200u);
-  for (const NodeId& each : {nodeId(1), nodeId(2), nodeId(3)})
-    EXPECT_NE(std::find(peers.begin(), peers.end(), each), peers.end()) << each;
+  for (const NodeId& expected : {nodeId(1), nodeId(2), nodeId(3)})
+    EXPECT_NE(std::find(peers.begin(), peers.end(), expected), peers.end()) << expected;
 }
 
-TEST_F(PeerDirectoryTest, AnnouncesToRememberedPeers) {
+TEST_F(PeerDirectoryTest, AnnouncesToSavedPeers) {
   auto one = make(1, {nodeId(8)}, {nodeId(9)});
   EXPECT_EQ(one.takeDuePeers(now), (std::vector<NodeId>{nodeId(8), nodeId(9)}));
 }
--- a/tests/discovery/peer_file_test.cpp
+++ b/tests/discovery/peer_file_test.cpp
@@ -1,4 +1,4 @@
-// The peer file is read back, and a damaged one is ignored.
+// The peer file is read back, and an invalid file is ignored.
 #include "discovery/peer_file.hpp"
 
 #include <gtest/gtest.h>
@@ -20,13 +20,13 @@
   const std::filesystem::path file = folder / "peers.json";
 };
 
-TEST_F(PeerFileTest, IsReadBackAndATornFileIsReadAsEmpty) {
+TEST_F(PeerFileTest, IsReadBackAndAnInvalidFileIsReadAsEmpty) {
   EXPECT_TRUE(readPeerFile(file).empty());
   ASSERT_TRUE(writePeerFile(file, {nodeId(1), nodeId(2)}));
   EXPECT_EQ(readPeerFile(file), (std::vector<NodeId>{nodeId(1), nodeId(2)}));
-  for (const char* torn : {"", "[\"10.0.0.1:7560\"", "[7]", "{}", "[\"nowhere\"]"}) {
-    std::ofstream(file, std::ios::trunc) << torn;
-    EXPECT_TRUE(readPeerFile(file).empty()) << torn;
+  for (const char* invalid : {"", "[\"10.0.0.1:7560\"", "[7]", "{}", "[\"nowhere\"]"}) {
+    std::ofstream(file, std::ios::trunc) << invalid;
+    EXPECT_TRUE(readPeerFile(file).empty()) << invalid;
   }
   EXPECT_FALSE(writePeerFile(folder / "missing" / "peers.json", {}));
 }
--- a/tests/system/core_test.cpp
+++ b/tests/system/core_test.cpp
@@ -1,5 +1,5 @@
-// The whole path on loopback sockets: three control nodes, a gateway, a stand-in for the platform and one for
-// a server; everything in the test's own thread.
+// End-to-end tests over loopback sockets: three control nodes, a gateway, a fake platform API and a fake
+// server, all in the thread of the test.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -22,35 +22,36 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-std::string pack(const json& told) {
-  const auto bytes = json::to_msgpack(told);
+std::string pack(const json& value) {
+  const auto bytes = json::to_msgpack(value);
   return {bytes.begin(), bytes.end()};
 }
 
-class Core : public testing::Test {
+class SystemTest : public testing::Test {
  protected:
-  Core() : folder(std::filesystem::temp_directory_path() / ("lilacmux-core-" + std::to_string(getpid()))) {
+  SystemTest()
+      : folder(std::filesystem::temp_directory_path() / ("lilacmux-core-" + std::to_string(getpid()))) {
     std::filesystem::remove_all(folder);
     port_ = ports_.take(2);
     controlPort_ = ports_.take();
     platform_.emplace(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0), CallServer::Limits{},
                       [this](CallServer::Call&&, const CallServer::Respond& respond) {
-                        respond(callReply(http::status::ok, pack(list()), "application/msgpack"));
+                        respond(callReply(http::status::ok, pack(serverList()), "application/msgpack"));
                       });
     server_.emplace(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0), CallServer::Limits{},
                     [this](CallServer::Call&& call, const CallServer::Respond& respond) {
-                      seen = std::move(call);
-                      ++arrivals;
-                      auto out = callReply(http::status(status), "the server's bytes");
-                      if (status == 200) out.set("X-Server-Seal", "seal");
-                      out.set("X-Attempt-Id", seen["X-Attempt-Id"]);
-                      respond(std::move(out));
+                      lastRequest = std::move(call);
+                      ++requestCount;
+                      auto response = callReply(http::status(serverStatus), "the server's bytes");
+                      if (serverStatus == 200) response.set("X-Server-Seal", "seal");
+                      response.set("X-Attempt-Id", lastRequest["X-Attempt-Id"]);
+                      respond(std::move(response));
                     });
     for (std::size_t i = 0; i < addresses_.size(); ++i)
-      nodes.push_back(std::make_unique<ControlNode>(io, settings(i, true), silent));
-    gateway = std::make_unique<Gateway>(io, settings(0, true), silent);
+      nodes.push_back(std::make_unique<ControlNode>(io, settings(i, true), discardLog));
+    gateway = std::make_unique<Gateway>(io, settings(0, true), discardLog);
   }
-  ~Core() override {
+  ~SystemTest() override {
     gateway.reset();
     nodes.clear();
     std::filesystem::remove_all(folder);
@@ -67,16 +68,16 @@
     for (const std::string& address : addresses_)
       out.seeds.emplace_back(asio::ip::make_address(address), controlPort_);
     out.controlPlane = out.seeds[i];
-    out.frontend = tcp::endpoint(asio::ip::make_address(addresses_[0]), frontPort());
-    out.readiness = tcp::endpoint(asio::ip::make_address(addresses_[1]), frontPort());
+    out.frontend = tcp::endpoint(asio::ip::make_address(addresses_[0]), frontendPort());
+    out.readiness = tcp::endpoint(asio::ip::make_address(addresses_[1]), frontendPort());
     out.dataDirectory = folder / std::to_string(i);
     out.bounds.revocationGlobal = true;
     out.platform = platform_->address();
     out.platformRatePerS = 100;
     return out;
   }
-  // A further control process, which keeps nothing.
-  NodeSettings withoutDisk() {
+  // Returns the settings of a fourth control process, which has no data directory.
+  NodeSettings disklessSettings() {
     NodeSettings out = settings(0, false);
     out.name = "without";
     out.address = ownAddress(14);
@@ -84,60 +85,67 @@
     out.dataDirectory.reset();
     return out;
   }
-  unsigned short frontPort() {
-    if (frontPort_ == 0) frontPort_ = ports_.take();
-    return frontPort_;
+  unsigned short frontendPort() {
+    if (frontendPort_ == 0) frontendPort_ = ports_.take();
+    return frontendPort_;
   }
 
-  void until(const std::function<bool()>& done, const char* what, std::chrono::seconds most = 30s) {
-    const auto end = std::chrono::steady_clock::now() + most;
+  // Runs the io_context until `condition` holds; fails after `timeout`.
+  void runUntil(const std::function<bool()>& condition, const char* description,
+                std::chrono::seconds timeout = 30s) {
+    const auto end = std::chrono::steady_clock::now() + timeout;
     io.restart();
-    while (!done()) {
-      ASSERT_LT(std::chrono::steady_clock::now(), end) << "waited in vain: " << what;
+    while (!condition()) {
+      ASSERT_LT(std::chrono::steady_clock::now(), end) << "timed out waiting until " << description;
       io.run_one_for(100ms);
     }
   }
-  // One exchange on a connection of its own; all that came.
-  std::string exchange(const tcp::endpoint& at, const std::string& text) {
+  // Sends `request` on a new connection and returns all bytes received until the connection is closed. Empty
+  // if the connection cannot be opened.
+  std::string exchange(const tcp::endpoint& endpoint, const std::string& request) {
     tcp::socket socket(io);
-    boost::system::error_code refused;
-    socket.connect(at, refused);
-    if (refused) return {};
-    asio::write(socket, asio::buffer(text));
-    std::string got;
-    std::array<char, 4096> piece;
-    bool ended = false;
+    boost::system::error_code connectError;
+    socket.connect(endpoint, connectError);
+    if (connectError) return {};
+    asio::write(socket, asio::buffer(request));
+    std::string received;
+    std::array<char, 4096> buffer;
+    bool isClosed = false;
     std::function<void()> read = [&] {
-      socket.async_read_some(asio::buffer(piece), [&](const boost::system::error_code& error, std::size_t n) {
-        got.append(piece.data(), n);
-        error ? (void)(ended = true) : read();
-      });
+      socket.async_read_some(asio::buffer(buffer),
+                             [&](const boost::system::error_code& error, std::size_t n) {
+                               received.append(buffer.data(), n);
+                               error ? (void)(isClosed = true) : read();
+                             });
     };
     read();
-    until([&] { return ended; }, "an answer");
-    return got;
+    runUntil([&] { return isClosed; }, "the response is complete");
+    return received;
   }
-  std::string ask(const std::string& target, const std::string& key) {
+  // Sends a request to the gateway and returns the response.
+  std::string get(const std::string& target, const std::string& key) {
     return exchange(*settings(0, true).frontend,
                     "GET " + target + " HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: 1\r\nX-Api-Key: " + key +
                         "\r\nX-Tenant-Name: mallory\r\nConnection: close\r\n\r\n");
   }
-  std::string ready() {
+  std::string readiness() {
     return exchange(*settings(0, true).readiness, "GET /api/readiness HTTP/1.1\r\nHost: a\r\n\r\n");
   }
-  // At any node, as operators do: on to where it is sent, and again until there is a clear answer.
+  // Submits a configuration as operators do: retries at the next node until the outcome is known. Returns the
+  // HTTP status, or 0 after 20 s.
   unsigned replace(const json& configuration, std::uint64_t base) {
     const std::string body = pack(configuration);
-    std::size_t at = 0;
+    std::size_t node = 0;
     const auto end = std::chrono::steady_clock::now() + 20s;
     while (std::chrono::steady_clock::now() < end) {
-      const std::string got = exchange(
-          settings(at, true).controlPlane.value(),
+      const std::string response = exchange(
+          settings(node, true).controlPlane.value(),
           "POST /api/Configuration.Replace HTTP/1.1\r\nHost: a\r\nX-Base-Revision: " + std::to_string(base) +
               "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-      const unsigned told = got.size() > 12 ? static_cast<unsigned>(std::stoi(got.substr(9, 3))) : 0;
-      if (told != 307 && told != 503 && told != 0) return told;
-      at = (at + 1) % addresses_.size();
+      const unsigned status =
+          response.size() > 12 ? static_cast<unsigned>(std::stoi(response.substr(9, 3))) : 0;
+      if (status != 307 && status != 503 && status != 0) return status;
+      node = (node + 1) % addresses_.size();
       io.restart();
       io.run_for(10ms);
     }
@@ -157,12 +165,12 @@
             {"backendServices", {{{"name", "s"}}}},
             {"tenants", {{{"name", "reader"}, {"apiKeys", {key}}, {"ratePerS", 100}, {"burstSize", 100}}}}};
   }
-  json list() const {
-    const auto at = server_->address();
+  json serverList() const {
+    const auto endpoint = server_->address();
     return {{"instances",
              {{{"instanceId", "i-1"},
                {"targetService", "s"},
-               {"address", at.address().to_string() + ":" + std::to_string(at.port())},
+               {"address", endpoint.address().to_string() + ":" + std::to_string(endpoint.port())},
                {"zone", "z"},
                {"capacity", 3},
                {"state", "available"},
@@ -173,139 +181,146 @@
   asio::io_context io;
   std::vector<std::unique_ptr<ControlNode>> nodes;
   std::unique_ptr<Gateway> gateway;
-  CallServer::Call seen;
-  unsigned arrivals = 0, status = 200;
+  CallServer::Call lastRequest;  // newest request that the server has received
+  unsigned requestCount = 0;     // requests that the server has received
+  unsigned serverStatus = 200;   // status of the server's responses
 
-  static void silent(const std::string&) {}
+  static void discardLog(const std::string&) {}
   const std::filesystem::path folder;
 
  private:
   const std::vector<std::string> addresses_{ownAddress(11), ownAddress(12), ownAddress(13)};
   FreePorts ports_{io, {ownAddress(11), ownAddress(12), ownAddress(13), ownAddress(14)}};
-  unsigned short port_ = 0, controlPort_ = 0, frontPort_ = 0;
+  unsigned short port_ = 0, controlPort_ = 0, frontendPort_ = 0;
   std::optional<CallServer> platform_, server_;
 };
 
-bool has(const std::string& text, const char* what) { return text.find(what) != std::string::npos; }
+bool containsText(const std::string& text, const char* part) { return text.find(part) != std::string::npos; }
 
-TEST_F(Core, AConfigurationIsTakenAndARequestServed) {
-  EXPECT_TRUE(has(ready(), "503")) << "ready before it knows anything";
+TEST_F(SystemTest, AcceptsAConfigurationAndServesARequest) {
+  EXPECT_TRUE(containsText(readiness(), "503")) << "not ready without a configuration";
   ASSERT_EQ(replace(configuration(2, "k"), 0), 200u);
-  EXPECT_EQ(replace(configuration(2, "k"), 0), 200u) << "the same again is the same answer";
+  EXPECT_EQ(replace(configuration(2, "k"), 0), 200u) << "a repeat gets the same response";
   EXPECT_EQ(replace(configuration(3, "k"), 0), 412u);
   EXPECT_EQ(replace(configuration(1, "k"), 2), 400u);
-  until([&] { return gateway->ready(); }, "the gateway follows");
-  EXPECT_TRUE(has(ready(), "200"));
-  // The stock of a new tenant comes with the first words on its demand.
-  std::string got;
-  until([&] { return has(got = ask("/a/x?y=1", "k"), "HTTP/1.1 200"); }, "served");
-  EXPECT_TRUE(has(got, "X-Server-Seal: seal")) << got;
-  EXPECT_TRUE(has(got, "the server's bytes"));
-  EXPECT_EQ(seen.target(), "/a/x?y=1");
-  EXPECT_EQ(seen["X-Tenant-Name"], "reader");
-  EXPECT_EQ(seen["X-Expected-Instance"], "i-1");
-  EXPECT_EQ(seen.count("X-Api-Key"), 0u);
-  EXPECT_TRUE(has(ask("/a/x", "other"), "HTTP/1.1 401"));
-  EXPECT_TRUE(has(ask("/b/x", "k"), "HTTP/1.1 404"));
-  // A server's own failure says that it has run: it goes on as it is and is not sent again.
-  status = 500;
-  const unsigned before = arrivals;
-  EXPECT_TRUE(has(ask("/a/x", "k"), "HTTP/1.1 500"));
-  EXPECT_EQ(arrivals, before + 1);
+  runUntil([&] { return gateway->ready(); }, "the gateway is ready");
+  EXPECT_TRUE(containsText(readiness(), "200"));
+  // A new tenant gets a share of its quota after its demand has been reported.
+  std::string response;
+  runUntil([&] { return containsText(response = get("/a/x?y=1", "k"), "HTTP/1.1 200"); },
+           "the request is served");
+  EXPECT_TRUE(containsText(response, "X-Server-Seal: seal")) << response;
+  EXPECT_TRUE(containsText(response, "the server's bytes"));
+  EXPECT_EQ(lastRequest.target(), "/a/x?y=1");
+  EXPECT_EQ(lastRequest["X-Tenant-Name"], "reader");
+  EXPECT_EQ(lastRequest["X-Expected-Instance"], "i-1");
+  EXPECT_EQ(lastRequest.count("X-Api-Key"), 0u);
+  EXPECT_TRUE(containsText(get("/a/x", "other"), "HTTP/1.1 401"));
+  EXPECT_TRUE(containsText(get("/b/x", "k"), "HTTP/1.1 404"));
+  // A response with status 500 shows that the server has executed the request: the response is forwarded
+  // unchanged and the request is not retried.
+  serverStatus = 500;
+  const unsigned requestsBefore = requestCount;
+  EXPECT_TRUE(containsText(get("/a/x", "k"), "HTTP/1.1 500"));
+  EXPECT_EQ(requestCount, requestsBefore + 1);
 }
 
-TEST_F(Core, FiguresCountWhatWasServedAndRefused) {
+TEST_F(SystemTest, MetricsCountRequestsAndContainNoKey) {
   ASSERT_EQ(replace(configuration(2, "secret-key"), 0), 200u);
-  until([&] { return gateway->ready(); }, "the gateway follows");
-  EXPECT_TRUE(has(ask("/a/x", "secret-key"), "HTTP/1.1 200"));
-  const auto told = [&](const tcp::endpoint& at) {
-    return exchange(at, "GET /metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+  runUntil([&] { return gateway->ready(); }, "the gateway is ready");
+  EXPECT_TRUE(containsText(get("/a/x", "secret-key"), "HTTP/1.1 200"));
+  const auto metricsOf = [&](const tcp::endpoint& endpoint) {
+    return exchange(endpoint, "GET /metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
   };
-  const std::string front = told(*settings(0, true).readiness);
-  EXPECT_FALSE(has(front, "secret-key"));
-  EXPECT_TRUE(has(front, "# TYPE lilacmux_requests_total counter"));
-  EXPECT_TRUE(has(front, "lilacmux_revision 2"));
-  EXPECT_TRUE(has(front, "lilacmux_ready 1"));
-  EXPECT_TRUE(has(front, "lilacmux_servers{service=\"s\"} 1"));
-  double answered = 0, tries = 0;
+  const std::string metrics = metricsOf(*settings(0, true).readiness);
+  EXPECT_FALSE(containsText(metrics, "secret-key"));
+  EXPECT_TRUE(containsText(metrics, "# TYPE lilacmux_requests_total counter"));
+  EXPECT_TRUE(containsText(metrics, "lilacmux_revision 2"));
+  EXPECT_TRUE(containsText(metrics, "lilacmux_ready 1"));
+  EXPECT_TRUE(containsText(metrics, "lilacmux_servers{service=\"s\"} 1"));
+  double requests = 0, attempts = 0;
   const auto sum = [&](const std::string& name) {
     double out = 0;
-    for (auto at = front.find(name); at != std::string::npos; at = front.find(name, at + 1))
-      out += std::stod(front.substr(front.find('}', at) + 1));
+    for (auto position = metrics.find(name); position != std::string::npos;
+         position = metrics.find(name, position + 1))
+      out += std::stod(metrics.substr(metrics.find('}', position) + 1));
     return out;
   };
-  answered = sum("lilacmux_requests_total{kind=");
-  tries = sum("lilacmux_tries_total{kind=");
-  EXPECT_EQ(answered, 1);
-  EXPECT_EQ(tries, 1);
-  double leads = 0;
+  requests = sum("lilacmux_requests_total{kind=");
+  attempts = sum("lilacmux_tries_total{kind=");
+  EXPECT_EQ(requests, 1);
+  EXPECT_EQ(attempts, 1);
+  double primaries = 0;
   for (std::size_t i = 0; i < 3; ++i)
-    leads += has(told(*settings(i, true).controlPlane), "lilacmux_primary 1") ? 1 : 0;
-  EXPECT_EQ(leads, 1);
+    primaries += containsText(metricsOf(*settings(i, true).controlPlane), "lilacmux_primary 1") ? 1 : 0;
+  EXPECT_EQ(primaries, 1);
 }
 
-TEST_F(Core, StatusTellsWhatEachProcessGoesByAndNoKey) {
+TEST_F(SystemTest, StatusReportsTheStateOfEachProcessAndContainsNoKey) {
   ASSERT_EQ(replace(configuration(2, "secret-key"), 0), 200u);
-  until([&] { return gateway->ready(); }, "the gateway follows");
-  const auto told = [&](const tcp::endpoint& at) {
-    const std::string got = exchange(at, "GET /api/status HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-    EXPECT_FALSE(has(got, "secret-key"));
-    return json::parse(got.substr(got.find("\r\n\r\n") + 4), nullptr, false);
+  runUntil([&] { return gateway->ready(); }, "the gateway is ready");
+  const auto statusOf = [&](const tcp::endpoint& endpoint) {
+    const std::string response =
+        exchange(endpoint, "GET /api/status HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    EXPECT_FALSE(containsText(response, "secret-key"));
+    return json::parse(response.substr(response.find("\r\n\r\n") + 4), nullptr, false);
   };
-  const json front = told(*settings(0, true).readiness);
-  EXPECT_EQ(front.value("revision", 0), 2);
-  EXPECT_TRUE(front.value("ready", false));
-  EXPECT_EQ(front["services"]["s"].value("listed", 0), 1);
-  std::multiset<std::string> parts;
-  for (std::size_t i = 0; i < 3; ++i) parts.insert(told(*settings(i, true).controlPlane).value("part", ""));
-  EXPECT_EQ(parts, (std::multiset<std::string>{"backup", "primary", "witness"}));
+  const json gatewayStatus = statusOf(*settings(0, true).readiness);
+  EXPECT_EQ(gatewayStatus.value("revision", 0), 2);
+  EXPECT_TRUE(gatewayStatus.value("ready", false));
+  EXPECT_EQ(gatewayStatus["services"]["s"].value("listed", 0), 1);
+  std::multiset<std::string> roles;
+  for (std::size_t i = 0; i < 3; ++i)
+    roles.insert(statusOf(*settings(i, true).controlPlane).value("part", ""));
+  EXPECT_EQ(roles, (std::multiset<std::string>{"backup", "primary", "witness"}));
 }
 
-TEST_F(Core, AKeyThatIsTakenAwayIsRefusedAndTheNextPrimaryKnows) {
+TEST_F(SystemTest, RejectsARemovedKeyAndTheNextPrimaryHasTheChange) {
   ASSERT_EQ(replace(configuration(2, "old"), 0), 200u);
-  until([&] { return gateway->ready(); }, "the gateway follows");
-  until([&] { return has(ask("/a/x", "old"), "HTTP/1.1 200"); }, "served");
+  runUntil([&] { return gateway->ready(); }, "the gateway is ready");
+  runUntil([&] { return containsText(get("/a/x", "old"), "HTTP/1.1 200"); }, "the request is served");
   ASSERT_EQ(replace(configuration(4, "new"), 2), 200u);
-  until([&] { return has(ask("/a/x", "old"), "HTTP/1.1 401"); }, "refused");
-  nodes.front().reset();  // the one that stood first, most likely the primary
-  EXPECT_EQ(replace(configuration(4, "new"), 2), 200u)
-      << "what was acknowledged is known to the next primary";
-  EXPECT_EQ(replace(configuration(6, "new"), 4), 200u) << "and it goes on without the lost one";
+  runUntil([&] { return containsText(get("/a/x", "old"), "HTTP/1.1 401"); }, "the key is rejected");
+  nodes.front().reset();  // the first candidate, most likely the primary
+  EXPECT_EQ(replace(configuration(4, "new"), 2), 200u) << "the next primary has the acknowledged change";
+  EXPECT_EQ(replace(configuration(6, "new"), 4), 200u) << "the remaining members accept changes";
 }
 
-// The head comes while the key counts, the end of the body after a version that takes it away.
-TEST_F(Core, AKeyTakenAwayInTheMidstOfARequestIsRefused) {
+// The head of the request arrives while the key is valid, the end of the body after a revision that removes
+// the key.
+TEST_F(SystemTest, RejectsAKeyThatIsRemovedWhileTheBodyIsReceived) {
   ASSERT_EQ(replace(configuration(2, "old"), 0), 200u);
-  until([&] { return gateway->ready(); }, "the gateway follows");
-  until([&] { return has(ask("/a/x", "old"), "HTTP/1.1 200"); }, "served");
+  runUntil([&] { return gateway->ready(); }, "the gateway is ready");
+  runUntil([&] { return containsText(get("/a/x", "old"), "HTTP/1.1 200"); }, "the request is served");
   tcp::socket socket(io);
   socket.connect(*settings(0, true).frontend);
   asio::write(socket,
               asio::buffer(std::string("POST /a/late HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: 2\r\n"
                                        "X-Api-Key: old\r\nTransfer-Encoding: chunked\r\n\r\n")));
-  const auto pause = std::chrono::steady_clock::now() + 100ms;
-  until([&] { return std::chrono::steady_clock::now() > pause; }, "the head is read");
+  const auto headReadBy = std::chrono::steady_clock::now() + 100ms;
+  runUntil([&] { return std::chrono::steady_clock::now() > headReadBy; }, "the head has been read");
   ASSERT_EQ(replace(configuration(4, "new"), 2), 200u);
-  until([&] { return has(ask("/a/x", "old"), "HTTP/1.1 401"); }, "refused");
-  const unsigned before = arrivals;
+  runUntil([&] { return containsText(get("/a/x", "old"), "HTTP/1.1 401"); }, "the key is rejected");
+  const unsigned requestsBefore = requestCount;
   asio::write(socket, asio::buffer(std::string("0\r\n\r\n")));
-  std::array<char, 4096> piece;
-  std::string got;
-  socket.async_read_some(asio::buffer(piece), [&](const boost::system::error_code&, std::size_t n) {
-    got.assign(piece.data(), n);
+  std::array<char, 4096> buffer;
+  std::string response;
+  socket.async_read_some(asio::buffer(buffer), [&](const boost::system::error_code&, std::size_t n) {
+    response.assign(buffer.data(), n);
   });
-  until([&] { return !got.empty(); }, "an answer");
-  EXPECT_TRUE(has(got, "HTTP/1.1 401")) << got;
-  EXPECT_EQ(arrivals, before) << "it reached a server, and named no tenant there";
+  runUntil([&] { return !response.empty(); }, "the response arrives");
+  EXPECT_TRUE(containsText(response, "HTTP/1.1 401")) << response;
+  EXPECT_EQ(requestCount, requestsBefore) << "the request reached a server without a tenant";
 }
 
-// A primary that hears no other member: it confirms nothing from the first moment on, and within its lease of
-// a second it stops telling and refusing as well.
-TEST_F(Core, APrimaryWithoutTheOthersSoonAnswersNoOperator) {
+// A primary that loses contact with all other members commits no change from then on. Once its lease of a
+// second has expired it also answers no reads and rejects no changes.
+TEST_F(SystemTest, AnIsolatedPrimaryIsUnavailableToOperatorsAfterItsLease) {
   ASSERT_EQ(replace(configuration(2, "k"), 0), 200u);
-  const auto statusAt = [&](std::size_t i, const std::string& call) {
-    const std::string got = exchange(*settings(i, true).controlPlane, call + "Connection: close\r\n\r\n");
-    return got.size() > 12 ? std::stoi(got.substr(9, 3)) : 0;
+  const auto statusAt = [&](std::size_t i, const std::string& request) {
+    const std::string response =
+        exchange(*settings(i, true).controlPlane, request + "Connection: close\r\n\r\n");
+    return response.size() > 12 ? std::stoi(response.substr(9, 3)) : 0;
   };
   const std::string describe = "GET /api/Configuration.Describe HTTP/1.1\r\nHost: a\r\n";
   std::size_t primary = 0;
@@ -313,70 +328,70 @@
     if (statusAt(i, describe) == 200) primary = i;
   for (std::size_t i = 0; i < nodes.size(); ++i)
     if (i != primary) nodes[i].reset();
-  const auto lost = std::chrono::steady_clock::now();
-  std::vector<int> late;
+  const auto isolatedAt = std::chrono::steady_clock::now();
+  std::vector<int> statusesAfterLease;
   const std::string body = pack(configuration(4, "k"));
-  while (std::chrono::steady_clock::now() < lost + 4s) {
-    const std::string order = exchange(
+  while (std::chrono::steady_clock::now() < isolatedAt + 4s) {
+    const std::string changeResponse = exchange(
         *settings(primary, true).controlPlane,
         "POST /api/Configuration.Replace HTTP/1.1\r\nHost: a\r\nX-Base-Revision: 9\r\nConnection: close\r\n"
         "Content-Length: " +
             std::to_string(body.size()) + "\r\n\r\n" + body);
-    const auto asked = std::chrono::steady_clock::now();
-    const int told = statusAt(primary, describe);
-    if (asked < lost + 1100ms) continue;
-    late.push_back(told);
-    late.push_back(order.size() > 12 ? std::stoi(order.substr(9, 3)) : 0);
+    const auto readAt = std::chrono::steady_clock::now();
+    const int readStatus = statusAt(primary, describe);
+    if (readAt < isolatedAt + 1100ms) continue;
+    statusesAfterLease.push_back(readStatus);
+    statusesAfterLease.push_back(changeResponse.size() > 12 ? std::stoi(changeResponse.substr(9, 3)) : 0);
   }
-  ASSERT_GT(late.size(), 2u);
-  for (const int told : late) EXPECT_EQ(told, 503);
+  ASSERT_GT(statusesAfterLease.size(), 2u);
+  for (const int status : statusesAfterLease) EXPECT_EQ(status, 503);
 }
 
-// After a loss of power all settings name one process without a disk, and that one names itself alone: the
-// members tell it where they are, and it tells the gateway.
-TEST_F(Core, AllFindTheCoreWhereSettingsNameOnlyOneWithoutADisk) {
+// After a power loss all settings, including its own, name a single diskless process as the only seed. The
+// members announce themselves to it, and it redirects the gateway to them.
+TEST_F(SystemTest, AllFindTheCoreThroughADisklessProcessAsTheOnlySeed) {
   ASSERT_EQ(replace(configuration(2, "k"), 0), 200u);
   gateway.reset();
   nodes.clear();
-  const auto turned = [&](NodeSettings settings) {
-    settings.seeds = {withoutDisk().controlPlane.value()};
+  const auto withDisklessSeed = [&](NodeSettings settings) {
+    settings.seeds = {disklessSettings().controlPlane.value()};
     return settings;
   };
-  auto diskless = std::make_unique<ControlNode>(io, turned(withoutDisk()), silent);
-  gateway = std::make_unique<Gateway>(io, turned(settings(0, false)), silent);
+  auto diskless = std::make_unique<ControlNode>(io, withDisklessSeed(disklessSettings()), discardLog);
+  gateway = std::make_unique<Gateway>(io, withDisklessSeed(settings(0, false)), discardLog);
   for (std::size_t i = 0; i < 3; ++i)
-    nodes.push_back(std::make_unique<ControlNode>(io, turned(settings(i, false)), silent));
-  until([&] { return gateway->ready(); }, "the gateway follows");
-  const std::string got = exchange(withoutDisk().controlPlane.value(),
-                                   "GET /api/Configuration.Describe HTTP/1.1\r\nHost: a\r\n\r\n");
-  EXPECT_TRUE(has(got, "HTTP/1.1 307")) << got;
+    nodes.push_back(std::make_unique<ControlNode>(io, withDisklessSeed(settings(i, false)), discardLog));
+  runUntil([&] { return gateway->ready(); }, "the gateway is ready");
+  const std::string response = exchange(disklessSettings().controlPlane.value(),
+                                        "GET /api/Configuration.Describe HTTP/1.1\r\nHost: a\r\n\r\n");
+  EXPECT_TRUE(containsText(response, "HTTP/1.1 307")) << response;
 }
 
-TEST_F(Core, NewSeedsAreTakenUpWhileItRuns) {
+TEST_F(SystemTest, AGatewayAppliesNewSeedsWithoutARestart) {
   ASSERT_EQ(replace(configuration(2, "k"), 0), 200u);
   gateway.reset();
-  NodeSettings lost = settings(0, false), found = lost;
-  lost.seeds = {withoutDisk().controlPlane.value()};  // nobody listens there
-  gateway = std::make_unique<Gateway>(io, lost, silent);
+  NodeSettings deadSeed = settings(0, false), validSeeds = deadSeed;
+  deadSeed.seeds = {disklessSettings().controlPlane.value()};  // no process listens there
+  gateway = std::make_unique<Gateway>(io, deadSeed, discardLog);
   io.restart();
   io.run_for(300ms);
   EXPECT_FALSE(gateway->ready());
-  gateway->reload(found);
-  until([&] { return gateway->ready(); }, "the gateway follows");
+  gateway->reload(validSeeds);
+  runUntil([&] { return gateway->ready(); }, "the gateway is ready");
 }
 
-// A disk that cannot be used at the start does not end the process.
-TEST_F(Core, OneWhoseDiskFailsAtItsStartServesAsOneWithoutUntilItWorks) {
-  NodeSettings settings = withoutDisk();
+// A node whose disk fails at its start keeps running.
+TEST_F(SystemTest, ANodeWhoseDiskFailsAtItsStartRunsDisklessUntilTheDiskWorks) {
+  NodeSettings settings = disklessSettings();
   settings.dataDirectory = folder / "late";
-  std::ofstream(*settings.dataDirectory) << "a file where a folder is to be";
-  const ControlNode node(io, settings, silent);
-  const auto told = [&] {
+  std::ofstream(*settings.dataDirectory) << "a file in place of the data directory";
+  const ControlNode node(io, settings, discardLog);
+  const auto status = [&] {
     return exchange(*settings.controlPlane, "GET /api/status HTTP/1.1\r\nHost: a\r\n\r\n");
   };
-  EXPECT_TRUE(has(told(), "without a disk"));
+  EXPECT_TRUE(containsText(status(), "without a disk"));
   std::filesystem::remove(*settings.dataDirectory);
-  until([&] { return has(told(), "observer"); }, "its disk is in use");
+  runUntil([&] { return containsText(status(), "observer"); }, "the store is open");
 }
 
 }  // namespace
