--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -68,7 +68,7 @@
   out.isPrimary = replica.isPrimary();
   out.hasLease = replica.hasLease(now);
   out.hasFailed = replica.hasFailed();
-  out.leader = replica.leader();
+  out.leader = replica.knownPrimary();
   out.record = durable.record;
   out.revision = durable.state.revision;
   return out;
@@ -141,7 +141,7 @@
 
 NodeId OperatorApi::redirectTarget() const {
   const Replica* replica = std::as_const(components_.member).replica();
-  return replica ? replica->leader() : relayOrCoreCandidate();
+  return replica ? replica->knownPrimary() : relayOrCoreCandidate();
 }
 
 // Returns the redirect target of a node without a replica: the first known relay, or else one of the core
--- a/src/control/primary_role.cpp
+++ b/src/control/primary_role.cpp
@@ -97,7 +97,7 @@
   ReplicatedState next = replica.committed();
   ++next.sequence;
   std::erase_if(next.grantHolders,
-                [&](const std::string& grantHolder) { return primary_->isGone(now, grantHolder); });
+                [&](const std::string& grantHolder) { return primary_->hasExpired(now, grantHolder); });
   next.grantHolders.merge(unreplicatedGrantHolders_);
   unreplicatedGrantHolders_.clear();
   replica.propose(now, next);
--- a/src/control/relay_service.hpp
+++ b/src/control/relay_service.hpp
@@ -50,7 +50,7 @@
 
   // Returns the log as received from the primary.
   const ChangeLog& changeLog() const { return relay_.log(); }
-  std::size_t gatekeepers(Millis now) const { return relay_.gatekeeperCount(now); }
+  std::size_t gatekeepers(Millis now) const { return relay_.gatewayCount(now); }
   std::uint64_t revision() const { return relay_.revision(); }
   // Returns the relays found in mode `locator`.
   const std::vector<RelayEndpoint>& knownRelays() const { return locator_.relays(); }
--- a/tests/control/accepted_changes_test.cpp
+++ b/tests/control/accepted_changes_test.cpp
@@ -37,14 +37,15 @@
     sent.state->accepted = AcceptedChanges(4, changes);
     Frame frame = toFrame(sent);
     Frame malformed = frame, legacy = frame;
-    const auto decoded = memberMessageOf(std::move(frame));
+    const auto decoded = decodeMemberMessage(std::move(frame));
     ASSERT_TRUE(decoded && decoded->state);
     EXPECT_EQ(decoded->state->accepted, sent.state->accepted);
     EXPECT_EQ(*decoded->state->body, "body");
     malformed.head["state"]["accepted"] = "AAAA";
-    EXPECT_FALSE(memberMessageOf(std::move(malformed)));
+    EXPECT_FALSE(decodeMemberMessage(std::move(malformed)));
     legacy.head["state"].erase("accepted");  // as in messages of versions that sent 64-bit hashes
-    EXPECT_EQ(memberMessageOf(std::move(legacy))->state->accepted, AcceptedChanges::onlyCurrent(9, "body"));
+    EXPECT_EQ(decodeMemberMessage(std::move(legacy))->state->accepted,
+              AcceptedChanges::onlyCurrent(9, "body"));
   }
 }
 
--- a/tests/control/operator_simulation.hpp
+++ b/tests/control/operator_simulation.hpp
@@ -28,7 +28,7 @@
 
   explicit OperatorSimulation(std::uint64_t seed) : random_(seed * 0x9e3779b97f4a7c15u + 1) {
     const std::size_t members = chance() < 0.3 ? 5 : 3;
-    timing_.losses = static_cast<unsigned>(members / 2);
+    timing_.toleratedLosses = static_cast<unsigned>(members / 2);
     constexpr std::size_t kCapacities[] = {1, 2, 8, ConfigurationRegister::kDefaultCapacity};
     capacity_ = kCapacities[randomBelow(4)];
     responseLossRate_ = chance() < 0.5 ? 0.3 : 0.05;
@@ -88,12 +88,12 @@
       node.disk = durable;
       return true;
     }
-    void committed(const ReplicatedState& state) override {
+    void onCommitted(const ReplicatedState& state) override {
       simulation.recordCommit(state);
       simulation.nodes_[self].service->onCommitted();
       simulation.scheduleAt(self, 0, [owner = &simulation, name = self] { owner->processQueue(name); });
     }
-    void lostPrimacy() override { simulation.nodes_[self].service->onPrimacyLost(); }
+    void onPrimacyLost() override { simulation.nodes_[self].service->onPrimacyLost(); }
     void log(const std::string&) override {}
     OperatorSimulation& simulation;
     const NodeId self;
@@ -298,16 +298,16 @@
     node.service->submit(now_, *node.replica, {call->bytes, call->base},
                          [this, to, respond](const ChangeResult& result) {
                            Reply reply{result.outcome, {}, {}, 0};
-                           if (result.outcome == ChangeOutcome::notPrimary) reply.redirect = knownLeader(to);
+                           if (result.outcome == ChangeOutcome::notPrimary) reply.redirect = knownPrimary(to);
                            respond(reply);
                          });
   }
-  NodeId knownLeader(const NodeId& name) {
-    const NodeId leader = nodes_[name].replica->leader();
-    return leader == name ? NodeId() : leader;
+  NodeId knownPrimary(const NodeId& name) {
+    const NodeId primary = nodes_[name].replica->knownPrimary();
+    return primary == name ? NodeId() : primary;
   }
   void read(const Replica& replica, const NodeId& node, const std::function<void(const Reply&)>& respond) {
-    if (!replica.hasLease(now_)) return respond({ChangeOutcome::notPrimary, knownLeader(node), {}, 0});
+    if (!replica.hasLease(now_)) return respond({ChangeOutcome::notPrimary, knownPrimary(node), {}, 0});
     const ReplicatedState& state = replica.committed();
     respond({ChangeOutcome::acknowledged, {}, state.body ? *state.body : std::string(), state.revision});
   }
--- a/tests/golden/samples.hpp
+++ b/tests/golden/samples.hpp
@@ -138,7 +138,7 @@
   MemberMessage out = plainMessage(kind);
   out.granted = true;
   out.record = fullRecord();
-  out.announcementSeen = -1.5;
+  out.lastAnnouncementSentAt = -1.5;
   out.state = fullState();
   return out;
 }
@@ -165,7 +165,7 @@
   out.reserve = 2.0001;  // rounded up to a whole thousandth
   out.grantedRate = 3.5;
   out.grantNumber = 17;
-  out.waiting = 4;
+  out.waitingRequests = 4;
   out.requestedTokens = 5.75;
   out.returnedTokens = 0.1259;  // rounded down
   return out;
@@ -214,7 +214,7 @@
   FollowRequest out = gatewayCall();
   out.relay.emplace();
   out.relay->address = "127.0.0.4:7004";
-  out.relay->gatekeepers = 15;
+  out.relay->gatewayCount = 15;
   out.relay->priorGrantsReported = true;
   return out;
 }
@@ -251,7 +251,7 @@
 inline FollowResponse plainAnswer() {
   FollowResponse out;
   out.epoch = 3 * kRound + 2;
-  out.delta.listed = true;
+  out.delta.hasServerList = true;
   out.delta.index = 1;
   return out;
 }
@@ -262,10 +262,10 @@
   out.epoch = 3 * kRound + 2;
   out.ageMs = 250.5;
   out.listAgeMs = 12.25;
-  out.delta.listed = true;
+  out.delta.hasServerList = true;
   out.delta.index = 20;
   out.delta.revision = 13;
-  out.gatekeepers = 99;
+  out.gatewayCount = 99;
   out.quotaGrants.number = 18;
   out.quotaGrants.grants = {grantOf("tenant-a", false), grantOf("tenant-b", true)};
   out.retryGrants.number = 21;
@@ -288,7 +288,7 @@
 inline FollowResponse snapshotAnswer() {
   FollowResponse out = fullAnswer();
   out.delta.servers.emplace();
-  out.delta.servers->snapshot = true;
+  out.delta.servers->isSnapshot = true;
   out.delta.servers->updated = servers();
   return out;
 }
@@ -321,7 +321,7 @@
 inline FollowResponse packedListAnswer() {
   FollowResponse out = packedConfigurationAnswer();
   out.delta.servers.emplace();
-  out.delta.servers->snapshot = true;
+  out.delta.servers->isSnapshot = true;
   std::vector<Instance> list;
   for (int i = 0; i < 3; ++i)
     for (Instance each : servers()) {
@@ -335,7 +335,7 @@
 inline FollowResponse nothingKnownAnswer() {
   FollowResponse out;
   out.epoch = 3 * kRound + 2;
-  out.known = false;
+  out.holdingsKnown = false;
   out.listAgeMs.reset();
   return out;
 }
@@ -390,7 +390,7 @@
 }
 
 inline std::optional<MemberMessage> readMember(const std::string& bytes) {
-  return memberMessageOf(frameOf(bytes));
+  return decodeMemberMessage(frameOf(bytes));
 }
 inline std::optional<FollowRequest> readCall(const std::string& bytes) {
   return parseFollowRequest(frameOf(bytes));
