--- a/src/fleet/bulk_pacer.cpp
+++ b/src/fleet/bulk_pacer.cpp
@@ -14,13 +14,13 @@
   return (delta.servers->updated.size() + delta.servers->removed.size()) * BulkPacer::kEstimatedServerBytes;
 }
 
-void leaveOutConfiguration(FollowResponse& response) {
+void omitConfiguration(FollowResponse& response) {
   response.delta.configuration.reset();
   response.delta.packedConfiguration.reset();
 }
 
-// The follower keeps the servers that it has, and its position.
-void leaveOutServers(const FollowRequest& request, FollowResponse& response) {
+// Omits the server list; the follower retains its current servers and its position in the log.
+void omitServers(const FollowRequest& request, FollowResponse& response) {
   response.delta.hasServerList = false;
   response.delta.servers.reset();
   response.delta.index = request.position.epoch == response.epoch ? request.position.index : 0;
@@ -34,8 +34,8 @@
   const std::size_t servers = serverBytes(response.delta);
   const bool isBulk = configuration + servers >= kMinBulkBytes;
   if (!isBulk || link_.queue(now) <= kMaxQueueMs) return link_.passed(now, configuration + servers);
-  if (configuration >= kMinBulkBytes / 2) leaveOutConfiguration(response);
-  if (servers >= kMinBulkBytes / 2) leaveOutServers(request, response);
+  if (configuration >= kMinBulkBytes / 2) omitConfiguration(response);
+  if (servers >= kMinBulkBytes / 2) omitServers(request, response);
 }
 
 }  // namespace lilacmux
--- a/src/fleet/change_log.cpp
+++ b/src/fleet/change_log.cpp
@@ -14,17 +14,17 @@
   return out;
 }
 
-// A new epoch's primary has not confirmed any list yet.
+// The primary of a new epoch has not read the server list yet.
 void ChangeLog::enterEpoch(std::uint64_t epoch) {
   epoch_ = epoch;
   hasServerList_ = false;
 }
 
-ChangeLog::Servers ChangeLog::inheritFromCurrent(const std::vector<Instance>& list) const {
+ChangeLog::Servers ChangeLog::inheritDrainingState(const std::vector<Instance>& list) const {
   Servers out;
   for (Instance instance : list) {
-    if (const auto known = servers_.find(instance.id); known != servers_.end())
-      instance.inherit(known->second);
+    if (const auto previous = servers_.find(instance.id); previous != servers_.end())
+      instance.inherit(previous->second);
     if (const auto duplicate = out.find(instance.id); duplicate != out.end())
       instance.inherit(duplicate->second);
     out[instance.id] = instance;
@@ -33,15 +33,15 @@
 }
 
 void ChangeLog::updateServers(const std::vector<Instance>& list) {
-  replaceServers(inheritFromCurrent(list), {epoch_, position().index + 1});
+  replaceServers(inheritDrainingState(list), {epoch_, position().index + 1});
 }
 
 ChangeLog::Change ChangeLog::difference(const Servers& next, const ListPosition& position) const {
   Change change;
   change.position = position;
   for (const auto& [id, instance] : next) {
-    const auto known = servers_.find(id);
-    if (known == servers_.end() || !(known->second == instance)) change.updated.push_back(instance);
+    const auto previous = servers_.find(id);
+    if (previous == servers_.end() || !(previous->second == instance)) change.updated.push_back(instance);
   }
   for (const auto& [id, instance] : servers_)
     if (!next.contains(id)) change.removed.push_back(id);
@@ -52,9 +52,9 @@
   Change change = difference(next, position);
   servers_ = std::move(next);
   const bool isFirstOfEpoch = !std::exchange(hasServerList_, true);
-  const bool hadNoList = this->position().epoch == 0;
-  if (hadNoList)
-    base_ = position;  // nobody has followed anything before it
+  const bool isFirstList = this->position().epoch == 0;
+  if (isFirstList)
+    base_ = position;  // no follower can have an earlier position
   else if (isFirstOfEpoch || change.entryCount() > 0)
     append(std::move(change));
 }
@@ -67,8 +67,8 @@
     change.removed = delta.servers->removed;
   }
   for (Instance& instance : change.updated) {
-    if (const auto known = servers_.find(instance.id); known != servers_.end())
-      instance.inherit(known->second);
+    if (const auto previous = servers_.find(instance.id); previous != servers_.end())
+      instance.inherit(previous->second);
     servers_[instance.id] = instance;
   }
   for (const std::string& id : change.removed) servers_.erase(id);
@@ -96,7 +96,7 @@
   if (!delta.hasServerList || (hasServerList_ && delta.index <= index())) return;
   const ListPosition position{epoch, delta.index};
   if (delta.isSnapshot())
-    replaceServers(inheritFromCurrent(delta.servers->updated), position);
+    replaceServers(inheritDrainingState(delta.servers->updated), position);
   else
     applyChanges(delta, position);
 }
@@ -106,25 +106,27 @@
   body_ = std::move(body);
 }
 
-// How many of the kept changes lead to the list at `position`, or to the newest kept list before it, provided
-// that the next change here belongs to the same epoch: the changes from there on then lead from the list at
-// `position` to the current one. Absent: a list that did not lead to this one.
-std::optional<std::size_t> ChangeLog::changesUpTo(const ListPosition& position) const {
+// Returns the number of retained changes up to `position`. If no retained change has exactly this position,
+// counts up to the newest earlier one, provided that the following change belongs to the same epoch. The
+// remaining changes then lead from the list at `position` to the current one. Returns nothing if the list at
+// `position` is not an ancestor of the current one.
+std::optional<std::size_t> ChangeLog::changeCountUpTo(const ListPosition& position) const {
   if (position.epoch == 0) return std::nullopt;
   for (std::size_t count = changes_.size() + 1; count-- > 0;) {
-    const ListPosition& kept = count == 0 ? base_ : changes_[count - 1].position;
-    if (kept.epoch != position.epoch || kept.index > position.index) continue;
+    const ListPosition& candidate = count == 0 ? base_ : changes_[count - 1].position;
+    if (candidate.epoch != position.epoch || candidate.index > position.index) continue;
     const bool nextIsOfSameEpoch =
         count < changes_.size() && changes_[count].position.epoch == position.epoch;
-    if (kept.index == position.index || nextIsOfSameEpoch) return count;
+    if (candidate.index == position.index || nextIsOfSameEpoch) return count;
     return std::nullopt;
   }
   return std::nullopt;
 }
 
-std::shared_ptr<const std::string> ChangeLog::Delta::configurationFor(std::uint64_t has,
+std::shared_ptr<const std::string> ChangeLog::Delta::configurationFor(std::uint64_t currentRevision,
                                                                       const std::string* body) const {
-  return packedConfiguration ? unpackConfiguration(*packedConfiguration, has, body) : configuration;
+  return packedConfiguration ? unpackConfiguration(*packedConfiguration, currentRevision, body)
+                             : configuration;
 }
 
 ServerChanges ChangeLog::makeSnapshot() const {
@@ -134,7 +136,7 @@
   return out;
 }
 
-// The kept changes from number `first` on as one; later changes override earlier ones.
+// Merges the retained changes from number `first` on; later changes override earlier ones.
 std::optional<ServerChanges> ChangeLog::mergedChanges(std::size_t first) const {
   std::map<std::string, const Instance*> updated;
   std::set<std::string> removed;
@@ -161,12 +163,12 @@
   out.revision = revision_;
   out.hasServerList = hasServerList_;
   if (revision < revision_) out.configuration = body_;
-  // Another relay may have sent the follower more than has arrived here.
+  // The follower may have received newer changes from another relay.
   const bool followerIsAhead = position.epoch == epoch_ && position.index > out.index;
   if (followerIsAhead) out.index = position.index;
   if (!hasServerList_ || followerIsAhead) return out;
-  if (const auto known = changesUpTo(position))
-    out.servers = mergedChanges(*known);
+  if (const auto first = changeCountUpTo(position))
+    out.servers = mergedChanges(*first);
   else
     out.servers = makeSnapshot();
   return out;
--- a/src/fleet/configuration_pack.cpp
+++ b/src/fleet/configuration_pack.cpp
@@ -37,13 +37,13 @@
   const Version* version = find(revision);
   if (!version) return nullptr;
   const Version* prefix = base < revision ? find(base) : nullptr;
-  auto& known = packed_[{revision, prefix ? base : 0}];
-  if (known) return known;
+  auto& cached = packed_[{revision, prefix ? base : 0}];
+  if (cached) return cached;
   auto packed = std::make_shared<PackedConfiguration>();
   static_cast<Packed&>(*packed) = lilacmux::pack(*version->body, prefix ? prefix->body.get() : nullptr);
   packed->base = prefix ? base : 0;
-  known = std::move(packed);
-  return known;
+  cached = std::move(packed);
+  return cached;
 }
 
 std::shared_ptr<const std::string> unpackConfiguration(const PackedConfiguration& packed,
--- a/src/fleet/configuration_pack.hpp
+++ b/src/fleet/configuration_pack.hpp
@@ -1,5 +1,5 @@
-// Packs configurations for followers, against the version that a follower has where the sender still knows
-// that version.
+// Packs configurations for followers: as a patch against the follower's current version if the sender still
+// retains that version, otherwise in full.
 #pragma once
 
 #include <cstddef>
@@ -15,20 +15,21 @@
 namespace lilacmux {
 
 struct PackedConfiguration : Packed {
-  std::uint64_t base = 0;  // the revision whose body is the prefix; 0: there is none
+  std::uint64_t base = 0;  // revision whose body is the prefix; 0: no prefix
 };
 
-// Keeps the newest configurations, and their packed forms for the next follower that needs the same.
+// Retains the newest configurations and caches their packed forms, so that each form is packed only once.
 class ConfigurationPacker {
  public:
   using Body = std::shared_ptr<const std::string>;
-  static constexpr std::size_t kMaxEarlierVersions = 4;                  // beside the newest
-  static constexpr std::size_t kMaxEarlierBytes = std::size_t{4} << 20;  // of those, but for one
+  static constexpr std::size_t kMaxEarlierVersions = 4;  // in addition to the newest
+  // Limits the total size of the earlier versions; one earlier version is always retained.
+  static constexpr std::size_t kMaxEarlierBytes = std::size_t{4} << 20;
 
-  // Adds a version; a null body and a known revision are ignored.
+  // Adds a version. Ignores a null body and a revision that has already been added.
   void add(std::uint64_t revision, const Body& body);
-  // The version for a follower that has revision `base`, or none (0). Null: `revision` was not added, or is
-  // no longer kept.
+  // Returns version `revision` packed for a follower that has revision `base` (0: none). Returns null if
+  // `revision` was never added or is no longer retained.
   std::shared_ptr<const PackedConfiguration> pack(std::uint64_t revision, std::uint64_t base);
 
  private:
@@ -41,12 +42,12 @@
   const Version* find(std::uint64_t revision) const;
   void dropOldest();
 
-  std::deque<Version> versions_;  // by revision, the newest last
+  std::deque<Version> versions_;  // in ascending order of revision
   std::map<RevisionAndBase, std::shared_ptr<const PackedConfiguration>> packed_;
 };
 
-// The body, for a follower that has `body` of that revision (null: none). Null: it needs another version's
-// body, or is damaged.
+// Returns the unpacked body. `body` is the follower's current configuration, of `revision`; null if there is
+// none. Returns null if `packed` needs another base, or is damaged.
 std::shared_ptr<const std::string> unpackConfiguration(const PackedConfiguration& packed,
                                                        std::uint64_t revision, const std::string* body);
 
--- a/src/fleet/follow_codec.cpp
+++ b/src/fleet/follow_codec.cpp
@@ -15,12 +15,12 @@
 constexpr const char* kUpdateKind = "news";
 constexpr const char* kRedirectKind = "elsewhere";
 
-// --- Tokens and rates: whole thousandths, which are short to write
+// --- Tokens and rates: encoded as integral thousandths, which keeps the text short
 
 constexpr double kUnitsPerToken = 1000;
-constexpr double kRoundingError = 1e-6;  // of a unit, from the arithmetic before
+constexpr double kRoundingError = 1e-6;  // in units; absorbs floating-point errors of earlier arithmetic
 
-// Rounded up: what is held is never reported as less than it is.
+// Rounds up, so that the reported holdings are never less than the actual ones.
 std::int64_t unitsUp(double value) {
   return std::llround(std::ceil(value * kUnitsPerToken - kRoundingError));
 }
@@ -29,8 +29,8 @@
 double fromUnits(const json& in) { return static_cast<double>(in.get<std::int64_t>()) / kUnitsPerToken; }
 std::int64_t millisUp(double value) { return std::llround(std::ceil(value)); }
 
-// --- Demands and grants: arrays, as they are many. What was added later stands at the end, where it is
-// needed.
+// --- Demands and grants: encoded as arrays to save space. Fields that were added later come last
+// and are written only if set.
 
 json demandsToJson(const std::vector<ShareDemand>& demands) {
   json out = json::array();
@@ -130,8 +130,7 @@
   return out;
 }
 
-// --- Parts of a response. The body holds the packed server list, if there is one, and then the
-// configuration.
+// --- Parts of a response. The body contains the packed server list, if any, followed by the configuration.
 
 json packedToJson(const Packed& packed) { return {{"size", packed.size}, {"check", packed.checksum}}; }
 
@@ -153,8 +152,8 @@
   out.head["gone"] = servers.removed;
 }
 
-// Takes the packed list from the front of the body; what remains is the configuration.
-std::vector<Instance> takePackedServers(Frame& frame) {
+// Removes the packed server list from the front of the body; the remaining bytes are the configuration.
+std::vector<Instance> extractPackedServers(Frame& frame) {
   const json& in = frame.head.at("packedSet");
   Packed packed;
   readPacked(in, packed);
@@ -169,7 +168,8 @@
   if (!head.contains("set") && !head.contains("packedSet")) return std::nullopt;
   ServerChanges out;
   head.at("snapshot").get_to(out.isSnapshot);
-  out.updated = head.contains("set") ? head.at("set").get<std::vector<Instance>>() : takePackedServers(frame);
+  out.updated =
+      head.contains("set") ? head.at("set").get<std::vector<Instance>>() : extractPackedServers(frame);
   head.at("gone").get_to(out.removed);
   return out;
 }
@@ -219,7 +219,7 @@
 CoreView readCore(const json& head) {
   CoreView out;
   if (head.contains("core")) head.at("core").get_to(out.members);
-  out.epoch = head.value("coreEpoch", std::uint64_t{0});  // earlier versions do not send it
+  out.epoch = head.value("coreEpoch", std::uint64_t{0});  // not sent by earlier versions
   return out;
 }
 
@@ -276,7 +276,7 @@
   head.at("revision").get_to(out.delta.revision);
   head.at("fleet").get_to(out.gatewayCount);
   head.at("age").get_to(out.ageMs);
-  // Earlier versions do not send "unlisted"; their index is 0 until there is a list.
+  // Earlier versions do not send "unlisted"; they send index 0 until they have a server list.
   out.delta.hasServerList = out.delta.index > 0 && !head.contains("unlisted");
   out.listAgeMs = readListAge(head);
   out.holdingsKnown = !head.contains("unknown");
--- a/src/fleet/follow_codec.hpp
+++ b/src/fleet/follow_codec.hpp
@@ -1,5 +1,6 @@
-// Follow requests and responses as frames. The keys in a frame's head are shared by all versions that run
-// side by side, so they stay as they are whatever the fields in follow_messages.hpp are called.
+// Encodes follow requests and responses as frames, and decodes them. The keys in the frame head are part of
+// the wire format, which different versions share during an upgrade. They do not change with the names of the
+// fields in follow_messages.hpp.
 #pragma once
 
 #include <optional>
@@ -12,7 +13,7 @@
 Frame toFrame(const FollowRequest& request);
 Frame toFrame(const FollowResponse& response);
 
-// Absent: the frame is of another kind, or malformed.
+// Return nothing if the frame is of another kind or malformed.
 std::optional<FollowRequest> parseFollowRequest(const Frame& frame);
 std::optional<FollowResponse> parseFollowResponse(Frame&& frame);
 
--- a/src/fleet/follow_messages.hpp
+++ b/src/fleet/follow_messages.hpp
@@ -1,6 +1,6 @@
-// The messages between followers and those that they follow: a gateway asks a relay, a relay asks the
-// primary. Each request reports what the follower holds, and the response brings what it lacks. How they are
-// written to frames is in follow_codec.hpp.
+// The messages of the follow protocol: a gateway sends requests to a relay, a relay to the primary. A request
+// reports the follower's position and holdings; the response contains the changes since that position and new
+// grants. follow_codec.hpp encodes them as frames.
 #pragma once
 
 #include <cstdint>
@@ -22,57 +22,58 @@
   bool operator==(const RelayEndpoint&) const = default;
 };
 
-// What a relay says about itself, in addition to what every follower says.
+// The part of a follow request that only relays send.
 struct RelayReport {
   std::string address;  // ip:port, internal
   std::size_t gatewayCount = 0;
-  // Its gateways have had the time to report what earlier incarnations of this relay granted them.
+  // Whether the gateways have had time to report the grants of earlier incarnations of this relay.
   bool priorGrantsReported = false;
 };
 
 struct FollowRequest {
   std::string name;
   std::string zone;
-  ListPosition position;       // of the server list that it has
-  std::uint64_t revision = 0;  // of the configuration that it has
-  // A configuration may come packed against that revision, and a server list packed.
+  ListPosition position;       // of the follower's server list
+  std::uint64_t revision = 0;  // of the follower's configuration
+  // Whether the response may contain a configuration packed against that revision, and a packed server list.
   bool acceptsPacked = false;
-  bool full = false;  // `demands` name all that it holds; otherwise only what has changed, or is urgent
-  // It stops following here: the demands say what it gives back and what it still answers for.
+  bool full = false;  // `demands` report all holdings; otherwise only changed or urgent ones
+  // Whether this is the last request to this peer. The demands then report the tokens that are returned and
+  // the holdings that the follower retains.
   bool detaching = false;
-  std::vector<ShareDemand> demands;       // of the tenants' quotas
-  RequestSums::Rates requestRates;        // requests per second, by service
-  std::vector<ShareDemand> retryDemands;  // of the services' retry budgets
-  std::uint64_t relayListHash = 0;        // of the relay list that it has; 0: none
-  std::optional<RelayReport> relay;       // set: the follower is a relay
+  std::vector<ShareDemand> demands;       // for the quotas of tenants
+  RequestSums::Rates requestRates;        // by service, requests per second
+  std::vector<ShareDemand> retryDemands;  // for the retry budgets of services
+  std::uint64_t relayListHash = 0;        // of the follower's relay list; 0: none
+  std::optional<RelayReport> relay;       // set if the follower is a relay
 };
 
-// Grants of one ledger, all with the same number, which the holder confirms by its later demands.
+// Grants of one ledger. They share one number, which the holder acknowledges in its later demands.
 struct GrantBatch {
   std::uint64_t number = 0;
   std::vector<ShareGrant> grants;
 };
 
 struct FollowResponse {
-  // Where to ask instead. With epoch 0 and no leader: elsewhere, but it is not known where.
-  std::string leader;       // ip:port; empty: not known, or not needed
-  std::uint64_t epoch = 0;  // of the primary that the response rests on; 0: the follower must ask elsewhere
-  CoreView core;            // as the responder knows it
+  // Target of a redirect. With epoch 0 and no leader, the follower is redirected without a known target.
+  std::string leader;       // ip:port; empty: unknown, or not a redirect
+  std::uint64_t epoch = 0;  // of the primary from which the data comes; 0: redirect
+  CoreView core;            // the responder's view of the core
 
-  // How long ago the primary was asked for what this response rests on, ms. 0 from the primary itself.
+  // Time since the data was requested from the primary, ms. 0 in responses of the primary itself.
   double ageMs = 0;
-  // By how much the server list is older than a gateway's lease allows for, ms, from 0 on. Absent: the
-  // primary has not read the list since it took over and knows nothing of its age.
+  // Time by which the age of the server list exceeds the age that a gateway's lease allows for, ms, at least
+  // 0. Absent if the primary has not read the list since it took over, so that its age is unknown.
   std::optional<double> listAgeMs = 0;
   ChangeLog::Delta delta;
   std::size_t gatewayCount = 0;  // in the whole system
-  // Whether the ledgers here know what the follower holds. If not, it must send a full report before it is
-  // granted anything.
+  // Whether the responder's ledgers have a record of the follower's holdings. If not, the follower receives
+  // no grants until it has sent a full report.
   bool holdingsKnown = true;
   GrantBatch quotaGrants;  // by tenant
   GrantBatch retryGrants;  // by service
   std::uint64_t relayListHash = 0;
-  std::vector<RelayEndpoint> relays;  // the best to ask first; empty: the follower has this list
+  std::vector<RelayEndpoint> relays;  // in order of preference; empty: the follower already has this list
 };
 
 }  // namespace lilacmux
--- a/src/fleet/follow_schedule.hpp
+++ b/src/fleet/follow_schedule.hpp
@@ -1,6 +1,7 @@
-// When a follower sends its requests: regularly, with all that has changed, and earlier for what is urgent.
-// Urgent requests never postpone a regular one, or changes would go unreported where something is always
-// urgent. No I/O and no clock; times are ms of the owner's clock.
+// Schedules the requests of a follower. Regular requests report all changes; urgent requests are sent earlier
+// and report only urgent ones. An urgent request never postpones the regular one; otherwise a follower that
+// always has urgent demands would never report its other changes. No I/O and no clock; times are in ms of the
+// owner's clock.
 #pragma once
 
 #include <algorithm>
@@ -13,32 +14,33 @@
 class FollowSchedule {
  public:
   using Millis = double;
-  static constexpr Millis kInterval = 250;  // longer: changes and grants arrive later; shorter: more work
+  // Time between regular requests. Bounds the delay of changes and grants; a shorter one costs more work.
+  static constexpr Millis kInterval = 250;
   static constexpr Millis kResponseTimeout = 700;
   static constexpr Millis kRetryDelay = 60;  // after a request that failed
-  // At least so long between two requests: of a relay that runs short of tokens; of a gateway where requests
-  // wait for tokens, and where a token reserve is low.
+  // Minimum time between two requests: of a relay that needs tokens; of a gateway with requests that wait for
+  // tokens; of a gateway with a low token reserve.
   static constexpr Millis kMinRelayGap = 10, kMinPendingGap = 2, kMinLowReserveGap = 25;
 
-  // Records that a request is sent now, and returns what it must report. `known`: the one that is asked knows
-  // what this follower holds.
-  ReportScope beginRequest(Millis now, bool known) {
-    const bool urgent = known && now < regularAt_;
-    if (!urgent) regularAt_ = now + kInterval;
+  // Records that a request is being sent, and returns the scope of its report. `isKnownToPeer`: whether the
+  // peer has a record of this follower's holdings.
+  ReportScope beginRequest(Millis now, bool isKnownToPeer) {
+    const bool isUrgent = isKnownToPeer && now < regularAt_;
+    if (!isUrgent) regularAt_ = now + kInterval;
     lastRequestAt_ = now;
-    if (!known) return ReportScope::full;
-    return urgent ? ReportScope::urgent : ReportScope::delta;
+    if (!isKnownToPeer) return ReportScope::full;
+    return isUrgent ? ReportScope::urgent : ReportScope::delta;
   }
   Millis lastRequestAt() const { return lastRequestAt_; }
-  // From now until the next regular request is due; from 0 on.
+  // Returns the time until the next regular request is due; at least 0.
   Millis untilRegular(Millis now) const { return std::max(0.0, regularAt_ - now); }
-  // Records that the next request has been planned for that time.
-  void planNext(Millis at) { nextAt_ = at; }
-  // How long from now the next request may be sent, at least `gap` after the last one. Absent: not earlier
-  // than planned.
+  // Records the time for which the next request is scheduled.
+  void planNext(Millis requestAt) { nextAt_ = requestAt; }
+  // Returns the time from now until the next request may be sent, at least `gap` after the last one. Returns
+  // nothing if that is not earlier than the scheduled time.
   std::optional<Millis> advance(Millis now, Millis gap) const {
-    const Millis at = std::max(now, lastRequestAt_ + gap);
-    return at < nextAt_ ? std::optional(at - now) : std::nullopt;
+    const Millis earliest = std::max(now, lastRequestAt_ + gap);
+    return earliest < nextAt_ ? std::optional(earliest - now) : std::nullopt;
   }
 
  private:
@@ -46,7 +48,7 @@
 
   Millis lastRequestAt_ = kNever;
   Millis nextAt_ = 0;
-  Millis regularAt_ = 0;  // all changes are due then, however many urgent requests are sent before
+  Millis regularAt_ = 0;  // when the next regular request is due; not affected by urgent requests
 };
 
 }  // namespace lilacmux
--- a/src/fleet/follower.cpp
+++ b/src/fleet/follower.cpp
@@ -10,10 +10,10 @@
 namespace lilacmux {
 namespace {
 
-constexpr double kNoLeaderDelay = 120;  // ms until the next request where no primary is known
-constexpr double kDetachTimeout = 200;  // ms for the last request of a follower that stops
-constexpr double kReturnAfter = 5000;   // ms after which the best candidate is tried again
-constexpr unsigned kFailuresToLog = 3;  // in a row
+constexpr double kNoLeaderDelay = 120;         // ms until the next request if no primary is known
+constexpr double kDetachTimeout = 200;         // ms that the last request of a stopping follower may take
+constexpr double kPreferredRetryDelay = 5000;  // ms after which the most preferred candidate is tried again
+constexpr unsigned kFailuresToLog = 3;         // consecutive
 
 std::chrono::milliseconds roundedUp(double ms) {
   return std::chrono::milliseconds(std::lround(std::ceil(ms)));
@@ -31,14 +31,14 @@
   selector_.setCore(core.epoch, parseAddresses(core.members));
 }
 
-// Addresses that cannot be read are logged and left out.
+// Logs and skips malformed addresses.
 std::vector<Endpoint> Follower::parseAddresses(const std::vector<std::string>& addresses) const {
   std::vector<Endpoint> out;
   for (const std::string& address : addresses) {
     try {
       out.push_back(parseAddress(address, "address"));
-    } catch (const SettingsError& why) {
-      callbacks_.log(std::string("where to ask cannot be read: ") + why.what());
+    } catch (const SettingsError& error) {
+      callbacks_.log(std::string("skipped a malformed control plane address: ") + error.what());
     }
   }
   return out;
@@ -70,11 +70,11 @@
 
 void Follower::connectTo(const Endpoint& to) {
   if (client_ && client_->peer() == to) return;
-  // The old client may be the caller, so it is destroyed later.
+  // The old client may be the caller, so its destruction is deferred.
   if (client_) boost::asio::post(io_, [old = std::shared_ptr<FrameClient>(std::move(client_))] {});
   client_ = std::make_unique<FrameClient>(io_, to);
-  knownToPeer_ = false;
-  returnAt_ = steadyMs() + kReturnAfter;
+  isKnownToPeer_ = false;
+  returnAt_ = steadyMs() + kPreferredRetryDelay;
 }
 
 void Follower::connectToNextCandidate() {
@@ -88,17 +88,17 @@
   connectTo(best);
 }
 
-// So that the peer need not go on reserving what it has granted. The response is of no use.
+// Tells the peer to release its reservations for this follower. Ignores the response.
 void Follower::detachFromPeer() {
-  if (!knownToPeer_ || !client_ || !callbacks_.detachRequest) return;
-  client_->call(toFrame(callbacks_.detachRequest()), roundedUp(FollowSchedule::kResponseTimeout),
+  if (!isKnownToPeer_ || !client_ || !callbacks_.makeDetachRequest) return;
+  client_->call(toFrame(callbacks_.makeDetachRequest()), roundedUp(FollowSchedule::kResponseTimeout),
                 [](const std::optional<Frame>&) {});
 }
 
 void Follower::detach(const std::function<FollowRequest()>& lastRequest, std::function<void()> done) {
   if (std::exchange(detached_, true)) return;
   timer_.cancel();
-  if (!knownToPeer_ || !client_) return done();
+  if (!isKnownToPeer_ || !client_) return done();
   client_->call(toFrame(lastRequest()), roundedUp(kDetachTimeout),
                 [done = std::move(done)](const std::optional<Frame>&) { done(); });
 }
@@ -108,23 +108,25 @@
 void Follower::sendRequest() {
   awaitsNextRequest_ = false;
   const auto& preferred = selector_.preferred();
-  const bool followsBest = preferred.empty() || (client_ && client_->peer() == preferred.front());
-  if (!followsBest && steadyMs() >= returnAt_) returnToPreferred();
+  const bool isPreferredPeer = preferred.empty() || (client_ && client_->peer() == preferred.front());
+  if (!isPreferredPeer && steadyMs() >= returnAt_) returnToPreferred();
   if (!client_) return scheduleRequest(FollowSchedule::kInterval);
   const Millis sentAt = steadyMs();
-  const ReportScope scope = schedule_.beginRequest(sentAt, knownToPeer_);
-  client_->call(toFrame(callbacks_.request(scope)), roundedUp(FollowSchedule::kResponseTimeout),
+  const ReportScope scope = schedule_.beginRequest(sentAt, isKnownToPeer_);
+  client_->call(toFrame(callbacks_.makeRequest(scope)), roundedUp(FollowSchedule::kResponseTimeout),
                 [this, sentAt](std::optional<Frame> frame) { handleResponse(std::move(frame), sentAt); });
 }
 
 void Follower::requestFailed(Millis retryAfter) {
-  knownToPeer_ = false;
-  callbacks_.failed();
+  isKnownToPeer_ = false;
+  callbacks_.onFailure();
   scheduleRequest(retryAfter);
 }
 
 void Follower::handleNoResponse() {
-  if (++failures_ == kFailuresToLog) callbacks_.log("the control plane does not answer");
+  if (++failures_ == kFailuresToLog)
+    callbacks_.log("the control plane does not respond (" + std::to_string(failures_) +
+                   " consecutive failures)");
   connectToNextCandidate();
   requestFailed(FollowSchedule::kRetryDelay);
 }
@@ -146,15 +148,15 @@
   if (detached_) return;
   const auto response = frame ? parseFollowResponse(std::move(*frame)) : std::nullopt;
   if (!response) return handleNoResponse();
-  updateCore(response->core);  // its members change, so those of the settings may all be gone one day
+  updateCore(response->core);  // the members change, so the seeds in the settings may all become stale
   if (response->epoch == 0) return handleRedirect(response->leader);
-  if (failures_ >= kFailuresToLog) callbacks_.log("the control plane answers again");
+  if (failures_ >= kFailuresToLog) callbacks_.log("the control plane responds again");
   failures_ = 0;
-  knownToPeer_ = response->holdingsKnown;
+  isKnownToPeer_ = response->holdingsKnown;
   selector_.markResponsive(client_->peer());
   awaitsNextRequest_ = true;
-  scheduleRequest(knownToPeer_ ? schedule_.untilRegular(steadyMs()) : 0);
-  callbacks_.responded(*response, sentAt);
+  scheduleRequest(isKnownToPeer_ ? schedule_.untilRegular(steadyMs()) : 0);
+  callbacks_.onResponse(*response, sentAt);
 }
 
 }  // namespace lilacmux
--- a/src/fleet/follower.hpp
+++ b/src/fleet/follower.hpp
@@ -1,6 +1,6 @@
-// The client side of following, over sockets, for a gateway that follows a relay and for a relay that follows
-// the primary: chooses whom to ask, sends requests by the schedule or earlier where something is urgent, and
-// turns to another candidate when there is no response. Runs on the thread of its io_context.
+// The client of the follow protocol: a gateway uses it to follow a relay, a relay to follow the primary. It
+// selects the peer, sends requests on schedule, or earlier if something is urgent, and connects to another
+// candidate if the peer does not respond. Runs on the thread of its io_context.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,32 +22,34 @@
  public:
   using Millis = double;  // of the steady clock
 
-  // What the follower needs of its owner. Called on the io_context's thread, never from the constructor, and
-  // not once `detach` was called. `prefer` and `updateCore` may call `log`, and `prefer` also
-  // `detachRequest`.
+  // Implemented by the owner. Called on the io_context's thread, never from the constructor, and never after
+  // `detach` was called. `setPreferred` and `updateCore` may call `log`; `setPreferred` may also call
+  // `makeDetachRequest`.
   struct Callbacks {
-    // The next request; the argument says how much it must report.
-    std::function<FollowRequest(ReportScope)> request;
-    // A response that is no redirect has arrived to the request sent at `sentAt`.
-    std::function<void(const FollowResponse&, Millis sentAt)> responded;
-    // The last request was not answered, or answered by a redirect: its report may not have been received.
-    std::function<void()> failed;
-    std::function<void(const std::string&)> log;  // a line for the operators
-    // The request that detaches from a peer when the follower turns to a better one. Null: none is sent.
-    std::function<FollowRequest()> detachRequest;
+    // Returns the next request, with a report of the given scope.
+    std::function<FollowRequest(ReportScope)> makeRequest;
+    // Handles a response, other than a redirect, to the request sent at `sentAt`.
+    std::function<void(const FollowResponse&, Millis sentAt)> onResponse;
+    // Called if the last request received no response or a redirect: its report may have been lost.
+    std::function<void()> onFailure;
+    std::function<void(const std::string&)> log;  // writes a line to the log for operators
+    // Returns the request that detaches from the current peer before the follower connects to a preferred
+    // one. If null, no such request is sent.
+    std::function<FollowRequest()> makeDetachRequest;
   };
 
   Follower(boost::asio::io_context& io, std::vector<Endpoint> seeds, Callbacks callbacks);
-  // Sends the next request ahead of its time, at least `gap` ms after the last one.
+  // Sends the next request before its scheduled time, at least `gap` ms after the last one.
   void requestSoon(Millis gap);
-  // Stops following. Sends `lastRequest` if the peer knows this follower, and calls `done` once there is a
-  // response or the time for it has run out; without such a peer at once.
+  // Stops following. If the peer has a record of this follower, sends `lastRequest` and calls `done` after
+  // the response or a timeout; otherwise calls `done` at once.
   void detach(const std::function<FollowRequest()>& lastRequest, std::function<void()> done);
-  // Replaces the seeds by those of newer settings.
+  // Replaces the seeds after the settings have been reloaded.
   void setSeeds(std::vector<Endpoint> seeds) { selector_.setSeeds(std::move(seeds)); }
-  // Where the core is, as learned from others than the peer.
+  // Updates the addresses of the core's members with a view that came from a source other than the peer.
   void updateCore(const CoreView& core);
-  // The relays to follow as long as they respond, the best first. Turns to the best one at once.
+  // Sets the relays to follow as long as they respond, in order of preference. Connects to the first one at
+  // once.
   void setPreferred(const std::vector<RelayEndpoint>& best);
 
  private:
@@ -65,15 +67,15 @@
 
   boost::asio::io_context& io_;
   EndpointSelector selector_;
-  std::unique_ptr<FrameClient> client_;  // to the peer; null: there is no candidate
+  std::unique_ptr<FrameClient> client_;  // connected to the peer; null if there is no candidate
   boost::asio::steady_timer timer_;
   const Callbacks callbacks_;
-  unsigned failures_ = 0;     // requests without a response, in a row
-  bool knownToPeer_ = false;  // the peer knows what this follower holds
+  unsigned failures_ = 0;       // consecutive requests without a response
+  bool isKnownToPeer_ = false;  // the peer has a record of this follower's holdings
   bool detached_ = false;
-  bool awaitsNextRequest_ = false;  // nothing is in flight, and the next request may be brought forward
+  bool awaitsNextRequest_ = false;  // no request is in flight, so the next one may be sent early
   FollowSchedule schedule_;
-  Millis returnAt_ = 0;  // the best candidate is tried again from then on
+  Millis returnAt_ = 0;  // when to reconnect to the most preferred candidate
 };
 
 }  // namespace lilacmux
--- a/src/fleet/follower_state.cpp
+++ b/src/fleet/follower_state.cpp
@@ -19,24 +19,25 @@
 
 void FollowerState::renewLease(const FollowResponse& response, Millis sentAt, std::uint64_t revision) {
   if (!response.listAgeMs) return;
-  // With an older configuration in force than the one that the relay knows of, as where that could not be
-  // read, the response confirms nothing about the one in force.
+  // If the active configuration is older than the newest one that the relay knows of, for example because the
+  // newer one could not be parsed, the response does not confirm the active one.
   if (revision == 0 || revision < response.delta.revision) return;
-  // A relay's response is as old as its own request to the primary.
-  const Millis askedAt = sentAt - response.ageMs - *response.listAgeMs;
-  leaseUntil_ = std::max(leaseUntil_, askedAt + lease_);
+  // A relay's response is as old as the relay's own request to the primary.
+  const Millis requestedAt = sentAt - response.ageMs - *response.listAgeMs;
+  leaseUntil_ = std::max(leaseUntil_, requestedAt + lease_);
 }
 
 FollowerState::Update FollowerState::applySnapshot(const ServerChanges& changes) {
   Update out;
-  std::map<std::string, Instance> before;
-  before.swap(instances_);
+  std::map<std::string, Instance> previous;
+  previous.swap(instances_);
   for (Instance instance : changes.updated) {
-    if (const auto known = before.find(instance.id); known != before.end()) instance.inherit(known->second);
+    if (const auto found = previous.find(instance.id); found != previous.end())
+      instance.inherit(found->second);
     out.updated.push_back(instance);
     instances_[instance.id] = std::move(instance);
   }
-  for (const auto& [id, instance] : before)
+  for (const auto& [id, instance] : previous)
     if (!instances_.contains(id)) out.removed.push_back(instance);
   hasServerList_ = true;
   return out;
@@ -45,8 +46,8 @@
 FollowerState::Update FollowerState::applyChanges(const ServerChanges& changes) {
   Update out;
   for (Instance instance : changes.updated) {
-    if (const auto known = instances_.find(instance.id); known != instances_.end())
-      instance.inherit(known->second);
+    if (const auto found = instances_.find(instance.id); found != instances_.end())
+      instance.inherit(found->second);
     out.updated.push_back(instance);
     instances_[instance.id] = std::move(instance);
   }
--- a/src/fleet/follower_state.hpp
+++ b/src/fleet/follower_state.hpp
@@ -1,5 +1,6 @@
-// What a gateway knows by following a relay: the servers, its position in the log, and until when it may act
-// on them without another response (its lease). No I/O and no clock; times are ms of the gateway's clock.
+// The replicated state of a gateway that follows a relay: the servers, the position in the change log, and
+// the lease, which limits how long the gateway may serve without another response. No I/O and no clock; times
+// are in ms of the gateway's clock.
 #pragma once
 
 #include <cstdint>
@@ -15,25 +16,25 @@
  public:
   using Millis = double;
 
-  // A lease lasts `lease` ms from when the primary was asked for what the state rests on, less the time by
-  // which its server list was too old. A primary that has not read the list yet does not know its age, and
-  // renews no lease.
+  // A lease lasts `lease` ms from when the data was requested from the primary, less the excess age of the
+  // server list (FollowResponse::listAgeMs). A primary that has not read the list yet does not know its age,
+  // so its responses do not renew the lease.
   explicit FollowerState(Millis lease) : lease_(lease) {}
 
   struct Update {
-    std::vector<Instance> updated;  // new or changed; the complete list after a snapshot
+    std::vector<Instance> updated;  // added or changed; the complete list after a snapshot
     std::vector<Instance> removed;
   };
 
-  // Whether a response counts: an older primary's changes nothing and renews nothing.
+  // Whether a response is from the current or a newer primary. Responses of older primaries are ignored.
   bool accepts(const FollowResponse& response) const { return response.epoch >= epoch_; }
-  // Applies a response, if it counts, to the request sent at `sentAt`. `revision`: of the configuration that
-  // is in force, once one that the response brings has been considered.
+  // Applies the response to the request sent at `sentAt`, if it is accepted. `revision`: of the active
+  // configuration, after the configuration in the response, if any, has been applied.
   Update apply(const FollowResponse& response, Millis sentAt, std::uint64_t revision);
 
   std::uint64_t epoch() const { return epoch_; }
   const ListPosition& position() const { return position_; }  // for the next request
-  bool hasServerList() const { return hasServerList_; }       // a server list was received
+  bool hasServerList() const { return hasServerList_; }       // whether a server list was received
   bool holdsLease(Millis now) const { return now < leaseUntil_; }
   Millis remainingLease(Millis now) const { return now < leaseUntil_ ? leaseUntil_ - now : 0; }
   const std::map<std::string, Instance>& instances() const { return instances_; }  // by id
@@ -44,7 +45,7 @@
   void renewLease(const FollowResponse& response, Millis sentAt, std::uint64_t revision);
 
   const Millis lease_;
-  std::uint64_t epoch_ = 0;  // of the newest primary whose response was received
+  std::uint64_t epoch_ = 0;  // of the newest primary from which a response was received
   ListPosition position_;
   bool hasServerList_ = false;
   Millis leaseUntil_ = -1;
--- a/src/fleet/instance.hpp
+++ b/src/fleet/instance.hpp
@@ -1,4 +1,4 @@
-// A server process as the platform lists it, and its form in JSON.
+// A server process from the platform's server list, and its JSON encoding.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,16 +7,16 @@
 namespace lilacmux {
 
 struct Instance {
-  std::string id;       // unique; a server that restarts gets another one
-  std::string service;  // that it belongs to
+  std::string id;       // unique; changes when the server restarts
+  std::string service;  // service to which the server belongs
   std::string address;  // ip:port
   std::string zone;
-  unsigned capacity = 0;  // requests at once
-  bool draining = false;  // takes no new requests
-  double warmupMs = 0;    // how much longer it is warming up, from when it was listed; not compared
+  unsigned capacity = 0;  // maximum number of concurrent requests
+  bool draining = false;  // accepts no new requests
+  double warmupMs = 0;    // remaining warm-up time when the list was read, ms; ignored by operator==
 
-  // Takes over what holds as long as an instance exists. A server list may lag behind an earlier one, so
-  // an instance that was once seen draining stays draining whatever a later list says.
+  // Takes over the draining state of an earlier record of the same instance. Draining is irreversible, and a
+  // list that is read later may be older, so it must not reset the state.
   void inherit(const Instance& earlier) { draining = draining || earlier.draining; }
 
   bool operator==(const Instance& other) const {
@@ -25,9 +25,9 @@
   }
 };
 
-// The JSON keys are part of the wire format between versions that run side by side.
+// The JSON keys are part of the wire format, which different versions share during an upgrade.
 void to_json(nlohmann::json& out, const Instance& instance);
-// Throws nlohmann::json::exception where a key is missing or has the wrong type.
+// Throws nlohmann::json::exception if a key is missing or has the wrong type.
 void from_json(const nlohmann::json& in, Instance& instance);
 
 }  // namespace lilacmux
--- a/src/fleet/packed.cpp
+++ b/src/fleet/packed.cpp
@@ -14,19 +14,21 @@
 
 constexpr int kCompressionLevel = 3;
 constexpr std::size_t kMaxUnpackedBytes = std::size_t{64} << 20;
-constexpr int kMinWindowLog = 10;  // log2 of bytes, the least that the format has
+constexpr int kMinWindowLog = 10;  // log2 of bytes; the minimum of the format
 
 struct FreeContext {
   void operator()(ZSTD_CCtx* context) const { ZSTD_freeCCtx(context); }
   void operator()(ZSTD_DCtx* context) const { ZSTD_freeDCtx(context); }
 };
 
+// Returns the result of a zstd function. Throws if it is an error code.
 std::size_t checked(std::size_t code) {
   if (ZSTD_isError(code)) throw std::runtime_error(std::string("zstd: ") + ZSTD_getErrorName(code));
   return code;
 }
 
-// The window must reach from the end of the text back to the start of its prefix.
+// Returns the log2 of the window size, which must reach from the end of the text back to the start of its
+// prefix.
 int windowLogFor(std::size_t bytes) {
   return std::max(kMinWindowLog, static_cast<int>(std::bit_width(bytes)));
 }
--- a/src/fleet/packed.hpp
+++ b/src/fleet/packed.hpp
@@ -1,5 +1,5 @@
-// Compressed texts: zstd (RFC 8878), optionally against an earlier text that both sides have, as a prefix
-// ("patch from"), so that a change costs about as much as what it changes.
+// Text compression with zstd (RFC 8878). An earlier text that both sides have may serve as a prefix (zstd's
+// "patch from" mode); the size is then about that of the change.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,12 @@
   std::string bytes;
 };
 
-// `prefix`: a similar text that the receiver has; null: none. Throws std::runtime_error where zstd fails.
+// Compresses `text`. `prefix`: a similar text that the receiver has; null if there is none. Throws
+// std::runtime_error if zstd fails.
 Packed pack(const std::string& text, const std::string* prefix);
 
-// Null: it was packed against another prefix, is damaged, or is over 64 MiB unpacked. Throws
-// std::runtime_error where zstd cannot be set up.
+// Decompresses `packed`. Returns null if it was packed against another prefix, is damaged, or is larger than
+// 64 MiB unpacked. Throws std::runtime_error if zstd cannot be set up.
 std::shared_ptr<const std::string> unpack(const Packed& packed, const std::string* prefix);
 
 }  // namespace lilacmux
--- a/src/fleet/platform_watcher.cpp
+++ b/src/fleet/platform_watcher.cpp
@@ -11,15 +11,15 @@
 
 using namespace std::chrono_literals;
 
-// Shorter: requests have a price. Longer: a draining server is seen late.
+// Bounds the delay until a draining server is noticed; each request to the platform has a price.
 constexpr auto kScanInterval = 500ms;
 constexpr auto kResponseTimeout = 900ms;
 constexpr auto kMaxPause = 2000ms;
-constexpr unsigned kMaxPauseFactor = 4;  // of the scan interval, by failures in a row
-constexpr unsigned kRefusedPauses = 2;   // pauses after a scan that the platform refused for its rate
+constexpr unsigned kMaxPauseFactor = 4;  // the pause is one scan interval per consecutive failure, up to this
+constexpr unsigned kRateLimitPauseFactor = 2;  // multiplies the pause after status 429
 constexpr unsigned kMaxPages = 200;
-constexpr unsigned kEmptyScansBelieved = 4;  // in a row, that list no server at all
-constexpr double kShareOfRate = 0.5;         // of what the platform accepts from all callers
+constexpr unsigned kMinEmptyScans = 4;  // consecutive, before an empty list is accepted
+constexpr double kShareOfRate = 0.5;    // of the rate that the platform accepts from all clients together
 constexpr double kMinRatePerS = 0.1;
 
 constexpr unsigned kOk = 200;
@@ -54,15 +54,15 @@
   after(std::max<std::chrono::milliseconds>(wait, minInterval_), [this] { beginScan(); });
 }
 
-void PlatformWatcher::after(std::chrono::milliseconds wait, std::function<void()> then) {
+void PlatformWatcher::after(std::chrono::milliseconds wait, std::function<void()> callback) {
   timer_.expires_after(wait);
-  timer_.async_wait([alive = alive_, then = std::move(then)](const boost::system::error_code& error) {
-    if (!error && *alive) then();
+  timer_.async_wait([alive = alive_, callback = std::move(callback)](const boost::system::error_code& error) {
+    if (!error && *alive) callback();
   });
 }
 
 void PlatformWatcher::beginScan() {
-  gathered_.clear();
+  scannedServers_.clear();
   pages_ = 0;
   age_.beginScan(steadyMs());
   requestPage("");
@@ -75,14 +75,15 @@
 }
 
 void PlatformWatcher::handlePage(std::optional<Fetched> response) {
-  if (!response) return scanFailed("no answer");
-  if (response->status == kTooManyRequests) return scanRefused();
-  if (response->status != kOk) return scanFailed("status " + std::to_string(response->status));
+  if (!response) return handleScanFailure("no response");
+  if (response->status == kTooManyRequests) return handleRateLimit();
+  if (response->status != kOk) return handleScanFailure("status " + std::to_string(response->status));
   const auto parsed = parseServerListPage(response->body);
-  if (const auto* error = std::get_if<ServerListPageError>(&parsed)) return scanFailed(describe(*error));
+  if (const auto* error = std::get_if<ServerListPageError>(&parsed))
+    return handleScanFailure(describe(*error));
   age_.pageReceived();
   const auto& page = std::get<ServerListPage>(parsed);
-  gathered_.insert(gathered_.end(), page.instances.begin(), page.instances.end());
+  scannedServers_.insert(scannedServers_.end(), page.instances.begin(), page.instances.end());
   if (!page.nextToken.empty() && ++pages_ < kMaxPages)
     return after(minInterval_, [this, next = page.nextToken] { requestPage(next); });
   completeScan();
@@ -90,27 +91,31 @@
 
 void PlatformWatcher::completeScan() {
   failedScans_ = 0;
-  // Servers do not all disappear at once; a list that says so is more likely wrong.
-  if (gathered_.empty() && lastListSize_ > 0 && ++emptyScans_ < kEmptyScansBelieved)
+  // It is unlikely that all servers disappear at once, so an empty list is presumably an error of the
+  // platform.
+  if (scannedServers_.empty() && lastListSize_ > 0 && ++emptyScans_ < kMinEmptyScans)
     return scheduleScan(kScanInterval);
   emptyScans_ = 0;
-  lastListSize_ = gathered_.size();
+  lastListSize_ = scannedServers_.size();
   age_.completeScan();
-  onList_(gathered_);
+  onList_(scannedServers_);
   scheduleScan(kScanInterval);
 }
 
-// While the platform does not answer nobody can know which servers are draining.
-void PlatformWatcher::scanFailed(const std::string& why) {
+// While the platform does not respond, its draining servers cannot be known; ServerListAge accounts for that.
+void PlatformWatcher::handleScanFailure(const std::string& reason) {
   age_.requestFailed(steadyMs());
-  retryAfterPause(why, 1);
+  retryAfterPause(reason, 1);
 }
 
-void PlatformWatcher::scanRefused() { retryAfterPause("refused", kRefusedPauses); }
+void PlatformWatcher::handleRateLimit() {
+  retryAfterPause("rate limited, status 429", kRateLimitPauseFactor);
+}
 
-void PlatformWatcher::retryAfterPause(const std::string& why, unsigned pauses) {
-  if (failedScans_++ == 0) log_("the platform's list did not come (" + why + "): the one before stays");
-  const auto pause = kScanInterval * std::min(failedScans_, kMaxPauseFactor) * pauses;
+void PlatformWatcher::retryAfterPause(const std::string& reason, unsigned pauseFactor) {
+  if (failedScans_++ == 0)
+    log_("reading the platform's server list failed (" + reason + "); retaining the previous list");
+  const auto pause = kScanInterval * std::min(failedScans_, kMaxPauseFactor) * pauseFactor;
   scheduleScan(std::min<std::chrono::milliseconds>(pause, kMaxPause));
 }
 
--- a/src/fleet/platform_watcher.hpp
+++ b/src/fleet/platform_watcher.hpp
@@ -1,6 +1,6 @@
-// Reads the platform's server list again and again, page by page, within the platform's rate limit. Only the
-// primary does so. A scan (all pages, from the first on) that fails on any page changes nothing. Runs on the
-// thread of its io_context.
+// Polls the platform's server list, page by page, within the platform's rate limit. Only the primary polls
+// it. A scan reads all pages; if any page fails, the whole scan is discarded. Runs on the thread of its
+// io_context.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -22,15 +22,15 @@
   using OnList = std::function<void(const std::vector<Instance>&)>;
   using Log = std::function<void(const std::string&)>;
 
-  // `ratePerS`: requests per second that the platform accepts from all callers. `onList` is called with each
-  // list that was read to its end.
+  // `ratePerS`: requests per second that the platform accepts from all clients together. `onList` is called
+  // with the complete list after each successful scan.
   PlatformWatcher(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, double ratePerS,
                   OnList onList, Log log);
   ~PlatformWatcher() { *alive_ = false; }
   PlatformWatcher(const PlatformWatcher&) = delete;
   PlatformWatcher& operator=(const PlatformWatcher&) = delete;
 
-  // All that the platform listed up to then is known, ms of the steady clock; see ServerListAge.
+  // Returns the time up to which the list is known, ms of the steady clock; see ServerListAge::asOf.
   std::optional<double> listAsOf() const { return age_.asOf(); }
 
  private:
@@ -38,25 +38,26 @@
   void requestPage(const std::string& token);
   void handlePage(std::optional<Fetched> response);
   void completeScan();
-  void scanFailed(const std::string& why);
-  void scanRefused();
-  void retryAfterPause(const std::string& why, unsigned pauses);
+  void handleScanFailure(const std::string& reason);
+  void handleRateLimit();
+  void retryAfterPause(const std::string& reason, unsigned pauseFactor);
   void scheduleScan(std::chrono::milliseconds wait);
-  // Calls `then` after that time, unless this object has been destroyed by then.
-  void after(std::chrono::milliseconds wait, std::function<void()> then);
+  // Calls `callback` after `wait`, unless this object has been destroyed by then.
+  void after(std::chrono::milliseconds wait, std::function<void()> callback);
 
   Fetcher fetcher_;
   boost::asio::steady_timer timer_;
   const std::chrono::milliseconds minInterval_;  // between two requests
   const OnList onList_;
   const Log log_;
-  std::vector<Instance> gathered_;  // of the pages of this scan
-  std::size_t lastListSize_ = 0;    // servers
-  unsigned emptyScans_ = 0;         // in a row
-  unsigned failedScans_ = 0;        // in a row
-  unsigned pages_ = 0;              // of this scan
+  std::vector<Instance> scannedServers_;  // servers on the pages read in this scan
+  std::size_t lastListSize_ = 0;          // servers in the last complete list
+  unsigned emptyScans_ = 0;               // consecutive
+  unsigned failedScans_ = 0;              // consecutive
+  unsigned pages_ = 0;                    // pages read in this scan
   ServerListAge age_;
-  // A timer that has expired before the destructor runs calls its handler afterwards, without an error.
+  // False after destruction. A timer that expired before the destructor ran still invokes its handler later,
+  // without an error.
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/fleet/primary_service.cpp
+++ b/src/fleet/primary_service.cpp
@@ -7,9 +7,9 @@
 namespace lilacmux {
 namespace {
 
-constexpr double kRelayTimeout = 2000;  // ms without a request until gateways are no longer sent to a relay
+constexpr double kRelayTimeout = 2000;  // ms without a request after which a relay is removed from the list
 
-// So that no two primaries' grants have numbers near each other.
+// Returns the first grant number of an epoch. Numbers of different primaries are far apart.
 std::uint64_t firstGrantOf(std::uint64_t epoch) {
   constexpr std::uint64_t kEpochBits = 0x3fffffff;
   constexpr unsigned kGrantBits = 32;
@@ -36,7 +36,8 @@
   shares_.setQuotas(now, quotas);
 }
 
-// A process that restarts under another name keeps its address; its former entry goes.
+// Adds or updates the relay, and removes relays that have timed out. A process that restarts gets a new name
+// but retains its address, so the entry of its earlier name is removed as well.
 void PrimaryService::recordRelay(Millis now, const FollowRequest& request) {
   const auto& report = *request.relay;
   const auto removed = std::erase_if(relays_, [&](const auto& entry) {
@@ -86,7 +87,7 @@
   if (retries) response.retryGrants = {retries->grantNumber, std::move(retries->grants)};
 }
 
-void PrimaryService::fillResponse(Millis now, const FollowRequest& request, bool named,
+void PrimaryService::fillResponse(Millis now, const FollowRequest& request, bool isRegistered,
                                   FollowResponse& response) {
   response.epoch = log_.epoch();
   if (request.detaching) return detachRelay(now, request);
@@ -95,8 +96,8 @@
   response.gatewayCount += gatewayCount();
   response.relayListHash = relayListHash_;
   if (relayListHash_ != request.relayListHash) response.relays = endpoints();
-  response.holdingsKnown = named;
-  if (named) grant(now, request, response);
+  response.holdingsKnown = isRegistered;
+  if (isRegistered) grant(now, request, response);
 }
 
 }  // namespace lilacmux
--- a/src/fleet/primary_service.hpp
+++ b/src/fleet/primary_service.hpp
@@ -1,6 +1,7 @@
-// What the primary does for the relays: keeps the log that they follow, the ledgers of quotas and of retry
-// budgets, and the list of relays. Each primary begins with a new one; what is replicated between members of
-// the core is in Replica. No I/O and no clock; times are ms of the primary's clock.
+// Serves the relays on behalf of the primary: owns the change log that they follow, the ledgers of quotas and
+// retry budgets, and the list of relays. Each new primary starts with a new instance; Replica holds the state
+// that is replicated between members of the core. No I/O and no clock; times are in ms of the primary's
+// clock.
 #pragma once
 
 #include <cstdint>
@@ -20,25 +21,25 @@
  public:
   using Millis = double;
 
-  // `followed`: the log as this process followed it under earlier primaries. `holders`: names of relays that
-  // may still hold grants of those.
+  // `followed`: the log that this process replicated from earlier primaries. `holders`: names of the relays
+  // that may still hold grants of earlier primaries.
   PrimaryService(Millis now, std::uint64_t epoch, const ChangeLog& followed,
                  const std::set<std::string>& holders, const QuotaRule& quotas, const RetryRule& retries);
 
   void updateServers(const std::vector<Instance>& list) { log_.updateServers(list); }
-  // `limits`: each tenant's rate and burst, as the operator has set them.
+  // `limits`: rate and burst of each tenant, as set by the operator.
   void setConfiguration(Millis now, std::uint64_t revision, std::shared_ptr<const std::string> body,
                         const std::map<std::string, Quota>& limits);
 
-  // Fills in the response to a relay's request; `request.relay` must be set. `named`: the relay's name is
-  // stored by the core, so it may be granted something.
-  void fillResponse(Millis now, const FollowRequest& request, bool named, FollowResponse& response);
+  // Fills in the response to a relay's request; `request.relay` must be set. `isRegistered`: whether the core
+  // has replicated the relay's name. Only registered relays receive grants.
+  void fillResponse(Millis now, const FollowRequest& request, bool isRegistered, FollowResponse& response);
 
   std::uint64_t listIndex() const { return log_.index(); }
   std::uint64_t revision() const { return log_.revision(); }
   std::size_t relayCount(Millis now) const { return shares_.holderCount(now); }
   bool hasExpired(Millis now, const std::string& relay) const { return shares_.hasExpired(now, relay); }
-  // Ledgers and holdings visited so far: what the work grows with.
+  // Returns the number of ledgers and holdings inspected so far, a measure of the work done.
   std::uint64_t inspectedCount() const { return shares_.inspectedCount(); }
 
  private:
@@ -57,7 +58,7 @@
   const QuotaRule rule_;
   ChangeLog log_;
   ShareLedger shares_;
-  std::optional<RetryLedger> retries_;        // where retries are limited
+  std::optional<RetryLedger> retries_;        // set if retries are limited
   std::map<std::string, KnownRelay> relays_;  // by name
   std::uint64_t relayListHash_ = 0;
 };
--- a/src/fleet/relay.cpp
+++ b/src/fleet/relay.cpp
@@ -9,15 +9,16 @@
 namespace lilacmux {
 namespace {
 
-// ms without a response of the primary until gateways are redirected. A new primary mostly serves within
-// 2 s, and gateways must learn of drains within 4 s, with the detour over another relay.
+// Gateways are redirected after this time without a response of the primary, ms. A new primary usually serves
+// within 2 s, and gateways must learn of draining servers within 4 s, including the detour over another
+// relay.
 constexpr double kStaleAfter = 2000;
-// ms after the start within which gateways have reported what earlier incarnations granted them. One that is
-// partitioned for longer goes by a granted rate that is small against the quota's margin.
+// Time after the start within which gateways report the grants of earlier incarnations, ms. A gateway that is
+// partitioned for longer continues at its granted rate, which is small compared with the margin of the quota.
 constexpr double kPriorGrantsReportedAfter = 600;
-constexpr std::size_t kMaxRelaysSent = 6;  // a gateway needs a few of its zone and one elsewhere
+constexpr std::size_t kMaxRelaysSent = 6;  // enough for a few relays of the gateway's zone and one of another
 
-// Numbers of grants differ between incarnations, and between quotas and retry budgets of one incarnation.
+// Grant numbers are distinct between incarnations, and between quotas and retry budgets of one incarnation.
 constexpr unsigned kGrantBits = 32;
 constexpr std::uint64_t kFirstRetryGrant = 1ULL << 31;
 
@@ -50,7 +51,7 @@
   out.ageMs = now - lastContactAt_;
   out.listAgeMs = listAge_;
   out.delta = log_.deltaSince(request.position, request.revision);
-  out.gatewayCount = gatekeepers_;
+  out.gatewayCount = gatewayCount_;
   if (request.relayListHash != relayListHash_) {
     out.relayListHash = relayListHash_;
     out.relays = rankRelays(request.name, request.zone, relays_, kMaxRelaysSent);
@@ -73,7 +74,7 @@
   retries_.release(now, request.name, request.retryDemands);
 }
 
-// To the next best relay. The gateway keeps all that it holds, and reports it there.
+// Redirects the gateway to the best other relay. The gateway retains its holdings and reports them there.
 FollowResponse Relay::redirect(Millis now, const FollowRequest& request) {
   quotas_.release(now, request.name, {});
   retries_.release(now, request.name, {});
@@ -121,21 +122,21 @@
 }
 
 void Relay::handleResponse(Millis now, const FollowResponse& response, Millis sentAt) {
-  if (response.epoch < log_.epoch()) return;  // of a primary that leads no longer
+  if (response.epoch < log_.epoch()) return;  // from a primary that has been replaced
   log_.apply(response.epoch, response.delta);
   needsUnpacked_ = response.delta.packedConfiguration && response.delta.revision > log_.revision();
-  gatekeepers_ = response.gatewayCount;
+  gatewayCount_ = response.gatewayCount;
   listAge_ = response.listAgeMs;
   if (!response.relays.empty()) {
     relays_ = response.relays;
     relayListHash_ = response.relayListHash;
   }
-  // A response that names a newer configuration and does not bring it renews nothing.
+  // A response that names a newer configuration without including it does not count as contact.
   if (response.delta.revision == log_.revision()) lastContactAt_ = sentAt;
-  takeGrants(now, response, sentAt);
+  applyGrants(now, response, sentAt);
 }
 
-void Relay::takeGrants(Millis now, const FollowResponse& response, Millis sentAt) {
+void Relay::applyGrants(Millis now, const FollowResponse& response, Millis sentAt) {
   const Millis leaseUntil = sentAt + ShareTiming{}.lease;
   quotas_.responseReceived(now, sentAt, leaseUntil);
   retries_.responseReceived(now, sentAt, leaseUntil);
--- a/src/fleet/relay.hpp
+++ b/src/fleet/relay.hpp
@@ -1,8 +1,8 @@
-// A relay stands between the primary and the gateways near it. It follows the primary's log and forwards it
-// under the same indexes, and grants parts of its own grants to its gateways. A response of a relay is as old
-// as the relay's own request to the primary that it rests on, and says how old, so that no lease becomes
-// longer on the way. A relay that has had no contact with the primary lately redirects its gateways. No I/O
-// and no clock; times are ms of the relay's clock.
+// A relay forwards data of the primary to nearby gateways. It replicates the primary's change log, which it
+// forwards under the same indexes, and sub-grants parts of its own grants to its gateways. Each response
+// states the time since the relay's own request to the primary, and the gateway subtracts that from its
+// lease; so forwarding does not extend leases. A relay without recent contact to the primary redirects its
+// gateways. No I/O and no clock; times are in ms of the relay's clock.
 #pragma once
 
 #include <cstdint>
@@ -19,32 +19,32 @@
  public:
   using Millis = double;
 
-  // `incarnation`: differs with each start of the process, as grants to gateways outlive it. From 0 to
-  // 2^32 - 1.
+  // `incarnation`: a number from 0 to 2^32 - 1 that differs with each start of the process, because grants to
+  // gateways outlive the process.
   Relay(std::string name, RelayEndpoint endpoint, std::uint64_t incarnation, Millis now);
 
   // --- Towards gateways
 
-  // With epoch 0 in the response the gateway must ask elsewhere.
+  // Handles a gateway's request. Epoch 0 in the response redirects the gateway.
   FollowResponse handleRequest(Millis now, const FollowRequest& request);
-  // From here on gateways are redirected to other relays, and take their holdings along.
+  // Starts draining: gateways are redirected to other relays and retain their holdings.
   void drain() { draining_ = true; }
   std::size_t gatewayCount(Millis now) const { return quotas_.gatekeeperCount(now); }
 
   // --- Towards the primary
 
-  // Whether gateways wait for tokens that only the primary can grant.
+  // Whether gateways are waiting for tokens that only the primary can grant.
   bool needsTokens() const { return quotas_.needsTokens() || retries_.needsTokens(); }
   FollowRequest nextRequest(Millis now, ReportScope scope);
-  // The last request of a relay that stops: gives back what no gateway holds.
+  // Returns the last request of a stopping relay, which returns the tokens that no gateway holds.
   FollowRequest detachRequest(Millis now);
-  // A response to the request that was sent at `sentAt`.
+  // Handles the response to the request sent at `sentAt`.
   void handleResponse(Millis now, const FollowResponse& response, Millis sentAt);
-  // The last request was not answered.
+  // Handles the failure of the last request.
   void requestFailed();
 
   std::uint64_t revision() const { return log_.revision(); }
-  // A primary that takes over in this process continues this log.
+  // The replicated log. If this process becomes the primary, the primary continues it.
   const ChangeLog& log() const { return log_; }
 
  private:
@@ -53,24 +53,24 @@
   void detachGateway(Millis now, const FollowRequest& request);
   void grant(Millis now, const FollowRequest& request, FollowResponse& response);
   bool isStale(Millis now) const;
-  void takeGrants(Millis now, const FollowResponse& response, Millis sentAt);
+  void applyGrants(Millis now, const FollowResponse& response, Millis sentAt);
 
   static constexpr Millis kNever = -1e18;
 
-  const std::string name_;  // with the incarnation
+  const std::string name_;  // includes the incarnation
   const RelayEndpoint endpoint_;
   const Millis startedAt_;
   ChangeLog log_;
   ShareRelay quotas_, retries_;
   RequestSums requestRates_;
-  std::vector<RelayEndpoint> relays_;  // all of them, as the primary listed them
+  std::vector<RelayEndpoint> relays_;  // all relays, as listed by the primary
   std::uint64_t relayListHash_ = 0;
-  std::size_t gatekeepers_ = 0;  // in the whole system, as the primary reported
+  std::size_t gatewayCount_ = 0;  // in the whole system, as reported by the primary
   bool draining_ = false;
   bool needsUnpacked_ = false;     // the last packed configuration could not be unpacked
-  std::optional<Millis> listAge_;  // as the primary reported it: FollowResponse::listAgeMs
-  Millis lastContactAt_ =
-      kNever;  // when the newest request was sent whose response brought all that there was
+  std::optional<Millis> listAge_;  // as reported by the primary, see FollowResponse::listAgeMs
+  // When the newest request was sent whose response was complete, that is, included the newest configuration.
+  Millis lastContactAt_ = kNever;
 };
 
 }  // namespace lilacmux
--- a/src/fleet/relay_list.hpp
+++ b/src/fleet/relay_list.hpp
@@ -1,4 +1,4 @@
-// The list of relays, as the primary keeps it and gateways choose from it.
+// Functions on the list of relays, which the primary maintains and from which gateways choose.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,13 @@
 
 namespace lilacmux {
 
-// The relays in the order in which this gateway is to try them, at most `limit`: those of its own zone first,
-// and within a zone in an order that differs by gateway (rendezvous hashing), so that the relays share the
-// gateways evenly.
+// Returns at most `limit` relays in the order in which the gateway is to try them: relays of the gateway's
+// zone first, and within a zone ordered by rendezvous hashing, which spreads the gateways evenly over the
+// relays.
 std::vector<RelayEndpoint> rankRelays(const std::string& gateway, const std::string& zone,
                                       std::vector<RelayEndpoint> relays, std::size_t limit);
 
-// Identifies the list, in whatever order the relays are given.
+// Returns a hash of the list that does not depend on the order of the relays.
 std::uint64_t hashRelayList(std::vector<RelayEndpoint> relays);
 
 }  // namespace lilacmux
--- a/src/fleet/server_list_age.cpp
+++ b/src/fleet/server_list_age.cpp
@@ -5,13 +5,13 @@
 namespace lilacmux {
 namespace {
 
-constexpr double kDrainMargin = 150;  // ms of the bound on drains that are left for requests on their way
-// ms of a lease that remain however old the list is, so that gateways in contact serve between two requests.
+constexpr double kDrainMargin = 150;  // ms of drainTimeoutMs reserved for requests in flight
+// Minimum lease at any list age, ms; bridges the time between two requests of a gateway that is in contact.
 constexpr double kMinLease = 700;
 
 }  // namespace
 
-void ServerListAge::completeScan() { asOf_ = std::max(asOf_.value_or(scanBeganAt_), scanBeganAt_); }
+void ServerListAge::completeScan() { asOf_ = std::max(asOf_.value_or(scanStartedAt_), scanStartedAt_); }
 
 void ServerListAge::requestFailed(Millis now) {
   if (failures_ > 0 && asOf_) asOf_ = std::min(now, *asOf_ + (now - failedAt_));
--- a/src/fleet/server_list_page.cpp
+++ b/src/fleet/server_list_page.cpp
@@ -7,7 +7,7 @@
 
 using nlohmann::json;
 
-constexpr const char* kAvailable = "available";  // any other state means that the server is draining
+constexpr const char* kAvailable = "available";  // a server in any other state is draining
 
 Instance parseInstance(const json& entry) {
   Instance out;
@@ -26,8 +26,8 @@
 
 const char* describe(ServerListPageError error) {
   switch (error) {
-    case ServerListPageError::notReadable:
-      return "the page cannot be read whole";
+    case ServerListPageError::malformedMessage:
+      return "the page is not a complete MessagePack object";
     case ServerListPageError::malformedField:
       return "a field is missing or has the wrong type";
   }
@@ -36,7 +36,7 @@
 
 std::variant<ServerListPage, ServerListPageError> parseServerListPage(std::string_view messagePack) {
   const json root = json::from_msgpack(messagePack.begin(), messagePack.end(), true, false);
-  if (!root.is_object()) return ServerListPageError::notReadable;
+  if (!root.is_object()) return ServerListPageError::malformedMessage;
   try {
     ServerListPage out;
     for (const json& entry : root.at("instances")) out.instances.push_back(parseInstance(entry));
--- a/src/fleet/server_list_page.hpp
+++ b/src/fleet/server_list_page.hpp
@@ -1,4 +1,4 @@
-// One page of the platform's server list, in MessagePack.
+// Parses pages of the platform's server list, which are encoded in MessagePack.
 #pragma once
 
 #include <string>
@@ -12,15 +12,15 @@
 
 struct ServerListPage {
   std::vector<Instance> instances;
-  std::string nextToken;  // for the next page; empty: this is the last one
+  std::string nextToken;  // requests the next page; empty on the last page
 };
 
 enum class ServerListPageError {
-  notReadable,     // no complete MessagePack object
-  malformedField,  // a field is missing or has the wrong type
+  malformedMessage,  // not a complete MessagePack object
+  malformedField,    // a field is missing or has the wrong type
 };
 
-// For the log.
+// Returns a description for the log.
 const char* describe(ServerListPageError error);
 
 std::variant<ServerListPage, ServerListPageError> parseServerListPage(std::string_view messagePack);
--- a/src/fleet/snapshot_pack.cpp
+++ b/src/fleet/snapshot_pack.cpp
@@ -8,12 +8,12 @@
 std::shared_ptr<const Packed> SnapshotPacker::pack(const ListPosition& position,
                                                    const std::vector<Instance>& list) {
   if (list.size() < kMinServers) return nullptr;
-  for (const auto& [keptPosition, packed] : kept_)
-    if (keptPosition == position) return packed;
+  for (const auto& [cachedPosition, packed] : cached_)
+    if (cachedPosition == position) return packed;
   const std::string text = nlohmann::json(list).dump();
-  kept_.emplace_back(position, std::make_shared<const Packed>(lilacmux::pack(text, nullptr)));
-  if (kept_.size() > kMaxKept) kept_.pop_front();
-  return kept_.back().second;
+  cached_.emplace_back(position, std::make_shared<const Packed>(lilacmux::pack(text, nullptr)));
+  if (cached_.size() > kMaxCachedLists) cached_.pop_front();
+  return cached_.back().second;
 }
 
 std::vector<Instance> unpackSnapshot(const Packed& packed) {
--- a/src/fleet/snapshot_pack.hpp
+++ b/src/fleet/snapshot_pack.hpp
@@ -1,5 +1,5 @@
-// Packs complete server lists, once for all followers that need the same: to write the list anew for each
-// takes a control process longer than all else that followers ask for.
+// Packs complete server lists and caches the result for all followers that need the same list. Encoding the
+// list for each follower would take a control process longer than all other work for followers.
 #pragma once
 
 #include <cstddef>
@@ -15,17 +15,17 @@
 
 class SnapshotPacker {
  public:
-  static constexpr std::size_t kMinServers = 32;  // a shorter list is sent as it is
-  static constexpr std::size_t kMaxKept = 2;      // lists
+  static constexpr std::size_t kMinServers = 32;     // shorter lists are sent unpacked
+  static constexpr std::size_t kMaxCachedLists = 2;  // for different positions
 
-  // The list at that position; null where it is too short to be worth it.
+  // Returns the packed list at `position`, or null if the list is too short to benefit from packing.
   std::shared_ptr<const Packed> pack(const ListPosition& position, const std::vector<Instance>& list);
 
  private:
-  std::deque<std::pair<ListPosition, std::shared_ptr<const Packed>>> kept_;  // the newest last
+  std::deque<std::pair<ListPosition, std::shared_ptr<const Packed>>> cached_;  // oldest first
 };
 
-// Throws nlohmann::json::exception where the list is damaged.
+// Returns the unpacked list. Throws nlohmann::json::exception if it is damaged.
 std::vector<Instance> unpackSnapshot(const Packed& packed);
 
 }  // namespace lilacmux
--- a/tests/fleet/catch_up_test.cpp
+++ b/tests/fleet/catch_up_test.cpp
@@ -1,5 +1,5 @@
-// Who was away catches up: by a snapshot or by the changes, never by both, in bounded memory; also where more
-// changes come meanwhile, where the configuration is large, and where the link is narrow.
+// Followers that were disconnected catch up either by a snapshot or by changes, never by both, with bounded
+// memory at the sender. Covers changes that arrive in the meantime and large configurations.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -30,9 +30,9 @@
   return out;
 }
 
-// Over the wire and back.
-FollowResponse sent(const FollowResponse& answer, std::size_t& bytes) {
-  std::string wire = encode(toFrame(answer));
+// Encodes and decodes a response, and stores the encoded size in `bytes`.
+FollowResponse roundTrip(const FollowResponse& response, std::size_t& bytes) {
+  std::string wire = encode(toFrame(response));
   bytes = wire.size();
   Frame frame;
   EXPECT_EQ(decode(wire, frame), Decoded::frame);
@@ -48,7 +48,8 @@
   return out;
 }
 
-// Some servers come, some go, some change; 1 to 4 of them a step.
+// A platform whose server list changes randomly: each step replaces, drains or otherwise changes 1 to 4
+// servers.
 class Platform {
  public:
   explicit Platform(std::uint64_t seed) : random_(seed) {
@@ -56,16 +57,16 @@
   }
   const std::vector<Instance>& change() {
     for (std::size_t count = 1 + random_() % 4; count > 0; --count) {
-      Instance& one = list_[random_() % list_.size()];
+      Instance& instance = list_[random_() % list_.size()];
       switch (random_() % 4) {
         case 0:
-          one = server(next_++);  // replaces one that was removed
+          instance = server(next_++);  // replaces a removed server
           break;
         case 1:
-          one.draining = true;
+          instance.draining = true;
           break;
         default:
-          ++one.capacity;
+          ++instance.capacity;
       }
     }
     return list_;
@@ -78,39 +79,39 @@
   std::vector<Instance> list_;
 };
 
-// A gatekeeper and a relay that are away for up to 400 changes, while more come between their calls.
-TEST(CatchUp, WhoWasAwayGetsTheSnapshotOrTheChangesAndHasAllThen) {
+// A gateway and a relay that miss up to 400 changes, while further changes occur between their requests.
+TEST(CatchUp, ADisconnectedFollowerReceivesASnapshotOrChangesAndIsUpToDateAfterwards) {
   unsigned snapshots = 0, changes = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     std::mt19937_64 random(seed);
     Platform platform(seed);
     PrimaryService primary(0, kEpoch, ChangeLog(), {}, QuotaRule{}, RetryRule{});
     Relay relay("r", {"10.0.0.9:1", "z"}, 1, 0);
-    FollowerState gatekeeper(kLease);
+    FollowerState gateway(kLease);
     primary.updateServers(platform.list());
-    unsigned gatekeeperAway = 0;
+    unsigned remainingSkips = 0;
     for (double now = 0; now < 40; ++now) {
-      const std::size_t away = random() % 4 == 0 ? random() % 400 : random() % 3;
-      for (std::size_t i = 0; i < away; ++i) primary.updateServers(platform.change());
+      const std::size_t missedChanges = random() % 4 == 0 ? random() % 400 : random() % 3;
+      for (std::size_t i = 0; i < missedChanges; ++i) primary.updateServers(platform.change());
       std::size_t bytes = 0;
       FollowResponse response;
       primary.fillResponse(now, relay.nextRequest(now, ReportScope::full), true, response);
-      relay.handleResponse(now, sent(response, bytes), now);
-      // The gateway does not ask each time, and now and then not for long: a relay that received a
-      // snapshot may have worked out what it changes.
-      if (gatekeeperAway > 0 && --gatekeeperAway > 0) continue;
-      if (random() % 8 == 0) gatekeeperAway = 10;
+      relay.handleResponse(now, roundTrip(response, bytes), now);
+      // The gateway skips requests at random, sometimes nine in a row, so that the relay may have received a
+      // snapshot and computed its difference from the previous list in the meantime.
+      if (remainingSkips > 0 && --remainingSkips > 0) continue;
+      if (random() % 8 == 0) remainingSkips = 10;
       if (random() % 3 == 0) continue;
-      const auto answer = sent(relay.handleRequest(now, requestOf(gatekeeper, 0)), bytes);
+      const auto relayResponse = roundTrip(relay.handleRequest(now, requestOf(gateway, 0)), bytes);
       std::set<std::string> ids;
-      if (const auto& servers = answer.delta.servers) {
+      if (const auto& servers = relayResponse.delta.servers) {
         for (const Instance& instance : servers->updated) EXPECT_TRUE(ids.insert(instance.id).second);
         for (const std::string& id : servers->removed) EXPECT_TRUE(ids.insert(id).second) << id;
         EXPECT_TRUE(!servers->isSnapshot || servers->removed.empty());
         ++(servers->isSnapshot ? snapshots : changes);
       }
-      gatekeeper.apply(answer, now, 0);
-      ASSERT_EQ(gatekeeper.instances(), byId(platform.list())) << "seed " << seed << " at " << now;
+      gateway.apply(relayResponse, now, 0);
+      ASSERT_EQ(gateway.instances(), byId(platform.list())) << "seed " << seed << " at " << now;
     }
   }
   EXPECT_GT(snapshots, 50u);
@@ -121,37 +122,37 @@
   ChangeLog primary(kEpoch), relay;
   std::vector<Instance> list;
   for (std::size_t i = 0; i < 304; ++i) list.push_back(server(i));
-  std::size_t mostEntries = 0, mostChanges = 0;
-  for (std::size_t round = 0; round < 3000; ++round) {
-    for (std::size_t i = 0; i < 1 + round % 60; ++i) ++list[(round * 31 + i) % list.size()].capacity;
+  std::size_t maxEntries = 0, maxChanges = 0;
+  for (std::size_t step = 0; step < 3000; ++step) {
+    for (std::size_t i = 0; i < 1 + step % 60; ++i) ++list[(step * 31 + i) % list.size()].capacity;
     primary.updateServers(list);
     relay.apply(kEpoch, primary.deltaSince(relay.position(), 0));
     for (const ChangeLog* log : {&primary, &relay}) {
-      mostEntries = std::max(mostEntries, log->entryCount());
-      mostChanges = std::max(mostChanges, log->changeCount());
+      maxEntries = std::max(maxEntries, log->entryCount());
+      maxChanges = std::max(maxChanges, log->changeCount());
     }
     ASSERT_EQ(relay.servers(), primary.servers());
   }
-  EXPECT_LE(mostEntries, list.size()) << "a snapshot is as short";
-  EXPECT_LE(mostChanges, ChangeLog::kMaxChanges);
+  EXPECT_LE(maxEntries, list.size()) << "a snapshot would be no longer";
+  EXPECT_LE(maxChanges, ChangeLog::kMaxChanges);
 }
 
-// A list of several pages changes while it is read.
-TEST(CatchUp, AServerThatIsListedTwiceIsSentOnceAndAsItIsKept) {
+// The list may change while its pages are being read.
+TEST(CatchUp, AServerThatIsListedTwiceIsSentOnceAsItIsStored) {
   ChangeLog primary(kEpoch);
   primary.updateServers({server(1)});
   const auto index = primary.index();
   primary.updateServers({server(1, 5), server(1)});
   EXPECT_EQ(primary.servers().at("i-1").capacity, 3u);
-  EXPECT_FALSE(primary.deltaSince({kEpoch, index}, 0).servers) << "nothing has changed in what is kept";
+  EXPECT_FALSE(primary.deltaSince({kEpoch, index}, 0).servers) << "the stored record has not changed";
   Instance draining = server(1);
   draining.draining = true;
   primary.updateServers({draining, server(1)});
   EXPECT_TRUE(primary.servers().at("i-1").draining);
 }
 
-// The list lags, by more at one read than at another, and the next primary may read an older one.
-TEST(CatchUp, AServerThatDrainsDoesSoWhateverAnOlderListSays) {
+// The list lags by a varying time, so a later read, or the next primary, may receive an older list.
+TEST(CatchUp, AnOlderListDoesNotResetTheDrainingState) {
   ChangeLog primary(kEpoch), next(2 * kEpoch), relay;
   Instance draining = server(1);
   draining.draining = true;
@@ -165,13 +166,13 @@
   EXPECT_TRUE(relay.deltaSince({}, 0).servers->updated.at(0).draining);
 }
 
-// A relay that came before the list and one that had it already: a gatekeeper that goes from the second to
-// the first keeps its index, or the first would take it back to what the list was then.
-TEST(CatchUp, AnIndexIsKeptAtARelayThatHasNoListYet) {
+// A gateway that moves from a relay with a list to a relay that has not received one yet retains its index.
+// Otherwise the second relay would send it changes that it has already applied.
+TEST(CatchUp, ARelayWithoutAListPreservesTheIndexOfAFollower) {
   ChangeLog primary(kEpoch), early;
   early.apply(kEpoch, primary.deltaSince({}, 0));
   primary.updateServers({server(1)});
-  const auto first = primary.deltaSince({kEpoch, early.index()}, 0);  // on its way to `early`
+  const auto first = primary.deltaSince({kEpoch, early.index()}, 0);  // in flight to `early`
   primary.updateServers({server(1), server(2)});
   const auto index = primary.index();
   EXPECT_EQ(early.deltaSince({kEpoch, index}, 0).index, index);
@@ -181,8 +182,8 @@
   EXPECT_FALSE(early.deltaSince({kEpoch, index}, 0).servers);
 }
 
-// A version that could not be taken in may have taken keys away that the one in force has.
-TEST(CatchUp, NoLeaseIsRenewedForAVersionOlderThanTheNewestReported) {
+// A configuration that could not be applied may have revoked keys that the active one still contains.
+TEST(CatchUp, NoLeaseIsRenewedWhileTheActiveRevisionIsOlderThanTheReportedOne) {
   FollowerState state(kLease);
   FollowResponse response;
   response.epoch = kEpoch;
@@ -192,16 +193,17 @@
   EXPECT_DOUBLE_EQ(state.remainingLease(1000), kLease - 200);
   response.delta.revision = 8;
   state.apply(response, 3000, 7);
-  EXPECT_DOUBLE_EQ(state.remainingLease(3000), kLease - 200 - 2000) << "renewed for 7, while 8 is in force";
+  EXPECT_DOUBLE_EQ(state.remainingLease(3000), kLease - 200 - 2000)
+      << "revision 7 is active although revision 8 was reported";
   state.apply(response, 3000, 8);
   EXPECT_DOUBLE_EQ(state.remainingLease(3000), kLease - 200);
   response.epoch = kEpoch - 1;
   state.apply(response, 4000, 8);
-  EXPECT_DOUBLE_EQ(state.remainingLease(3000), kLease - 200) << "by an older primary";
+  EXPECT_DOUBLE_EQ(state.remainingLease(3000), kLease - 200) << "not renewed by an older primary";
 }
 
-// A gateway that received an old list must not rely on it for as long.
-TEST(CatchUp, AnOldListShortensTheLease) {
+// A gateway that received an outdated list must stop relying on it earlier.
+TEST(CatchUp, AnOutdatedListShortensTheLease) {
   FollowerState state(kLease);
   FollowResponse response;
   response.epoch = kEpoch;
@@ -212,8 +214,8 @@
   EXPECT_DOUBLE_EQ(state.remainingLease(1000), kLease - 900);
 }
 
-// A new primary that has not read the list knows nothing of what has left since the last one read it.
-TEST(CatchUp, NoLeaseIsRenewedByAPrimaryThatHasReadNoList) {
+// A new primary that has not read the list does not know which servers have left since the last read.
+TEST(CatchUp, NoLeaseIsRenewedByAPrimaryThatHasNotReadTheList) {
   FollowerState state(kLease);
   FollowResponse response;
   response.epoch = kEpoch;
@@ -226,28 +228,29 @@
   EXPECT_DOUBLE_EQ(state.remainingLease(3000), kLease - 2000);
 }
 
-// The next primary goes on from the list that it has followed: nobody who has that list needs a snapshot.
-TEST(CatchUp, ATakeOverCostsAFollowerWhatHasChanged) {
+// The next primary continues the log that it has replicated, so no follower with the same list needs a
+// snapshot.
+TEST(CatchUp, AfterAFailoverAFollowerReceivesOnlyTheChanges) {
   ChangeLog primary(kEpoch), relay;
   primary.updateServers({server(1), server(2)});
   relay.apply(kEpoch, primary.deltaSince({}, 0));
-  const ListPosition gatekeeper = relay.position();
+  const ListPosition gateway = relay.position();
   ChangeLog next = ChangeLog::continuing(2 * kEpoch, relay);
-  EXPECT_FALSE(next.deltaSince(gatekeeper, 0).hasServerList) << "it has read no list yet";
+  EXPECT_FALSE(next.deltaSince(gateway, 0).hasServerList) << "the new primary has not read the list yet";
   relay.apply(2 * kEpoch, next.deltaSince(relay.position(), 0));
-  EXPECT_EQ(relay.position(), gatekeeper);
+  EXPECT_EQ(relay.position(), gateway);
   EXPECT_FALSE(relay.hasServerList());
   next.updateServers({server(1), server(3)});
   relay.apply(2 * kEpoch, next.deltaSince(relay.position(), 0));
   EXPECT_TRUE(relay.hasServerList());
-  const auto delta = relay.deltaSince(gatekeeper, 0);
+  const auto delta = relay.deltaSince(gateway, 0);
   EXPECT_FALSE(delta.isSnapshot());
   EXPECT_EQ(delta.servers->updated, std::vector<Instance>{server(3)});
   EXPECT_EQ(delta.servers->removed, std::vector<std::string>{"i-2"});
   EXPECT_EQ(delta.index, next.index());
 }
 
-TEST(CatchUp, ATakeOverWithoutAChangeSendsNoServerAgain) {
+TEST(CatchUp, AFailoverWithoutChangesSendsNoServers) {
   ChangeLog primary(kEpoch);
   primary.updateServers({server(1), server(2)});
   ChangeLog next = ChangeLog::continuing(2 * kEpoch, primary);
@@ -258,32 +261,33 @@
   EXPECT_EQ(delta.index, next.index());
 }
 
-// One that has followed nobody sends relays a snapshot; they work out what it changes for their gatekeepers.
-TEST(CatchUp, ARelayForwardsASnapshotAsWhatItChanges) {
-  ChangeLog primary(kEpoch), relay, stranger(2 * kEpoch);
+// A primary without a replicated log sends relays a snapshot, of which they forward only the difference from
+// the previous list.
+TEST(CatchUp, ARelayForwardsASnapshotAsItsDifferenceFromThePreviousList) {
+  ChangeLog primary(kEpoch), relay, newPrimary(2 * kEpoch);
   primary.updateServers({server(1), server(2)});
   relay.apply(kEpoch, primary.deltaSince({}, 0));
-  const ListPosition gatekeeper = relay.position();
-  stranger.updateServers({server(2), server(3)});
-  const auto response = stranger.deltaSince(relay.position(), 0);
+  const ListPosition gateway = relay.position();
+  newPrimary.updateServers({server(2), server(3)});
+  const auto response = newPrimary.deltaSince(relay.position(), 0);
   EXPECT_TRUE(response.isSnapshot());
   relay.apply(2 * kEpoch, response);
-  const auto delta = relay.deltaSince(gatekeeper, 0);
+  const auto delta = relay.deltaSince(gateway, 0);
   EXPECT_FALSE(delta.isSnapshot());
   EXPECT_EQ(delta.servers->updated, std::vector<Instance>{server(3)});
   EXPECT_EQ(delta.servers->removed, std::vector<std::string>{"i-1"});
 }
 
-// The old primary sent some of them more than it sent the one that took over.
-TEST(CatchUp, WhoKnowsMoreOfAnEarlierEpochThanTheNextPrimaryGetsASnapshot) {
+// The old primary had sent some followers newer changes than it had sent the next primary.
+TEST(CatchUp, AFollowerAheadOfTheNextPrimaryReceivesASnapshot) {
   ChangeLog primary(kEpoch);
   primary.updateServers({server(1)});
-  const ChangeLog behind = primary;
+  const ChangeLog outdated = primary;
   primary.updateServers({server(1), server(2)});
-  ChangeLog next = ChangeLog::continuing(2 * kEpoch, behind);
+  ChangeLog next = ChangeLog::continuing(2 * kEpoch, outdated);
   next.updateServers({server(1)});
   EXPECT_TRUE(next.deltaSince(primary.position(), 0).isSnapshot());
-  EXPECT_FALSE(next.deltaSince(behind.position(), 0).isSnapshot());
+  EXPECT_FALSE(next.deltaSince(outdated.position(), 0).isSnapshot());
 }
 
 nlohmann::json routes(std::size_t count) {
@@ -310,9 +314,9 @@
   return std::make_shared<const std::string>(bytes.begin(), bytes.end());
 }
 
-// What it costs to come back after 300 changes, at the grown and the large sites' size. Bytes are bounded,
-// times are only printed: they depend on the machine.
-TEST(CatchUp, AfterThreeHundredChangesItTakesOneConfigurationAndOneList) {
+// The cost of catching up after 300 changes, with the server counts of the grown and the large sites. Checks
+// the transferred bytes; prints the times only, because they depend on the machine.
+TEST(CatchUp, AfterThreeHundredChangesOneConfigurationAndOneListAreSent) {
   for (const std::size_t servers : {304, 900}) {
     PrimaryService primary(0, kEpoch, ChangeLog(), {}, QuotaRule{}, RetryRule{});
     Relay relay("r", {"10.0.0.9:1", "z"}, 1, 0);
@@ -325,31 +329,32 @@
     }
     const auto body = bodyOf(300, 5000);
     primary.setConfiguration(0, 300, body, {});
-    const auto begun = std::chrono::steady_clock::now();
-    const auto passed = [&] {
-      return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begun).count();
+    const auto startedAt = std::chrono::steady_clock::now();
+    const auto elapsedMs = [&] {
+      return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - startedAt).count();
     };
     FollowResponse response;
-    std::size_t toRelay = 0, toGatekeeper = 0;
+    std::size_t bytesToRelay = 0, bytesToGateway = 0;
     primary.fillResponse(1, relay.nextRequest(1, ReportScope::full), true, response);
-    relay.handleResponse(1, sent(response, toRelay), 1);
-    const double relayMs = passed();
+    relay.handleResponse(1, roundTrip(response, bytesToRelay), 1);
+    const double relayMs = elapsedMs();
     FollowerState state(kLease);
-    const auto answer = sent(relay.handleRequest(2, requestOf(state, 0)), toGatekeeper);
-    const double answeredMs = passed();
-    const auto read = parseConfiguration(*answer.delta.configuration);
-    ASSERT_TRUE(std::holds_alternative<Configuration>(read));
-    const RouteTable table(std::get<Configuration>(read));
-    state.apply(answer, 2, table.revision());
-    const double inForceMs = passed();
+    const auto relayResponse = roundTrip(relay.handleRequest(2, requestOf(state, 0)), bytesToGateway);
+    const double responseMs = elapsedMs();
+    const auto parsed = parseConfiguration(*relayResponse.delta.configuration);
+    ASSERT_TRUE(std::holds_alternative<Configuration>(parsed));
+    const RouteTable table(std::get<Configuration>(parsed));
+    state.apply(relayResponse, 2, table.revision());
+    const double activeMs = elapsedMs();
     EXPECT_EQ(state.instances(), byId(list));
     EXPECT_EQ(table.revision(), 300u);
-    EXPECT_LT(toRelay, body->size() + 200 * servers) << "one configuration and one list, whatever was missed";
-    EXPECT_LT(toGatekeeper, body->size() + 200 * servers);
-    std::cout << servers << " servers, 5,000 routes (" << body->size() << " bytes): " << toRelay
-              << " bytes to a relay, which has it after " << relayMs << " ms; " << toGatekeeper
-              << " to a gatekeeper, written and read in " << answeredMs - relayMs << " ms, in force "
-              << inForceMs - answeredMs << " ms later\n";
+    EXPECT_LT(bytesToRelay, body->size() + 200 * servers)
+        << "one configuration and one list, regardless of the number of missed changes";
+    EXPECT_LT(bytesToGateway, body->size() + 200 * servers);
+    std::cout << servers << " servers, 5,000 routes (" << body->size() << " bytes): " << bytesToRelay
+              << " bytes to a relay, received after " << relayMs << " ms; " << bytesToGateway
+              << " bytes to a gateway, encoded and decoded in " << responseMs - relayMs << " ms, active "
+              << activeMs - responseMs << " ms later\n";
   }
 }
 
--- a/tests/fleet/change_log_test.cpp
+++ b/tests/fleet/change_log_test.cpp
@@ -1,4 +1,4 @@
-// The log of server list changes: deltas, and snapshots for followers that are too far behind.
+// ChangeLog sends deltas to followers, and snapshots to those that lag too far behind.
 #include "fleet/change_log.hpp"
 
 #include <gtest/gtest.h>
@@ -6,9 +6,9 @@
 namespace lilacmux::test {
 namespace {
 
-TEST(ChangeLog, AFollowerGetsWhatItLacksAndWhoIsTooFarBehindASnapshot) {
+TEST(ChangeLog, SendsADeltaToAFollowerAndASnapshotIfItLagsTooFarBehind) {
   ChangeLog log(7);
-  EXPECT_EQ(log.deltaSince({}, 0).index, 0u) << "a place before there is a list";
+  EXPECT_EQ(log.deltaSince({}, 0).index, 0u) << "no position before a list was read";
   const Instance a{"a", "s", "127.0.0.1:1", "z", 2, false, 0};
   Instance b{"b", "s", "127.0.0.1:2", "z", 2, false, 0};
   log.updateServers({a, b});
@@ -27,7 +27,8 @@
     log.updateServers({b});
   }
   EXPECT_TRUE(log.deltaSince({7, next.index}, 0).isSnapshot());
-  EXPECT_TRUE(log.deltaSince({6, log.index()}, 0).isSnapshot()) << "another epoch's place says nothing";
+  EXPECT_TRUE(log.deltaSince({6, log.index()}, 0).isSnapshot())
+      << "a position of another epoch is not comparable";
 }
 
 }  // namespace
--- a/tests/fleet/configuration_pack_test.cpp
+++ b/tests/fleet/configuration_pack_test.cpp
@@ -1,4 +1,4 @@
-// Configurations packed against the version that a follower has.
+// Packing configurations as patches against the version that a follower has.
 #include "fleet/configuration_pack.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 namespace lilacmux::test {
 namespace {
 
-TEST(ConfigurationPack, AChangeCostsAboutWhatItChanges) {
+TEST(ConfigurationPack, AChangePacksToAboutItsOwnSize) {
   std::string text = configurationOf(1400, 1);
   const auto first = bodyOf(text);
   text.replace(text.size() / 2, 10, "another to");
@@ -27,43 +27,45 @@
   const auto unpacked = unpackConfiguration(*change, 7, first.get());
   ASSERT_TRUE(unpacked);
   EXPECT_EQ(*unpacked, *second);
-  EXPECT_EQ(packer.pack(8, 7), change) << "packed once for all";
+  EXPECT_EQ(packer.pack(8, 7), change) << "the packed form is cached";
   const auto full = packer.pack(8, 0);
   EXPECT_EQ(full->base, 0u);
   EXPECT_LT(full->bytes.size(), second->size() * 2 / 3);
   EXPECT_EQ(*unpackConfiguration(*full, 0, nullptr), *second);
-  EXPECT_EQ(*unpackConfiguration(*full, 3, first.get()), *second) << "whatever else is there";
+  EXPECT_EQ(*unpackConfiguration(*full, 3, first.get()), *second)
+      << "unpacking in full ignores the current configuration";
 }
 
-TEST(ConfigurationPack, ABaseThatIsNotKnownIsDoneWithout) {
+TEST(ConfigurationPack, AnUnknownBaseIsReplacedByAFullPack) {
   ConfigurationPacker packer;
   packer.add(8, bodyOf(configurationOf(100, 1)));
   EXPECT_EQ(packer.pack(8, 7)->base, 0u);
-  EXPECT_FALSE(packer.pack(9, 7)) << "a version that is not there";
+  EXPECT_FALSE(packer.pack(9, 7)) << "a revision that was never added";
 }
 
-TEST(ConfigurationPack, WhatDoesNotFitOrIsSpoiltIsNotTaken) {
+TEST(ConfigurationPack, AWrongBaseOrDamagedBytesAreRejected) {
   const auto first = bodyOf(configurationOf(300, 1)), second = bodyOf(*first + "more");
   ConfigurationPacker packer;
   packer.add(7, first);
   packer.add(8, second);
   const auto change = packer.pack(8, 7);
-  EXPECT_FALSE(unpackConfiguration(*change, 6, first.get())) << "another version is there";
+  EXPECT_FALSE(unpackConfiguration(*change, 6, first.get())) << "the base is another revision";
   EXPECT_FALSE(unpackConfiguration(*change, 7, nullptr));
-  const auto other = bodyOf(configurationOf(300, 2));
-  EXPECT_FALSE(unpackConfiguration(*change, 7, other.get())) << "another body under the same number";
-  for (std::size_t at = 0; at < change->bytes.size(); ++at) {
+  const auto otherBody = bodyOf(configurationOf(300, 2));
+  EXPECT_FALSE(unpackConfiguration(*change, 7, otherBody.get()))
+      << "the base has the same revision but another body";
+  for (std::size_t i = 0; i < change->bytes.size(); ++i) {
     PackedConfiguration damaged = *change;
-    damaged.bytes[at] = static_cast<char>(damaged.bytes[at] ^ 0x15);
-    const auto got = unpackConfiguration(damaged, 7, first.get());
-    EXPECT_TRUE(!got || *got == *second) << "byte " << at;
+    damaged.bytes[i] = static_cast<char>(damaged.bytes[i] ^ 0x15);
+    const auto unpacked = unpackConfiguration(damaged, 7, first.get());
+    EXPECT_TRUE(!unpacked || *unpacked == *second) << "byte " << i;
   }
-  PackedConfiguration large = *change;
-  large.size = std::uint64_t{1} << 40;
-  EXPECT_FALSE(unpackConfiguration(large, 7, first.get()));
+  PackedConfiguration oversized = *change;
+  oversized.size = std::uint64_t{1} << 40;
+  EXPECT_FALSE(unpackConfiguration(oversized, 7, first.get()));
 }
 
-TEST(ConfigurationPack, KeepsABoundedNumberOfVersions) {
+TEST(ConfigurationPack, RetainsABoundedNumberOfVersions) {
   ConfigurationPacker packer;
   for (std::uint64_t revision = 1; revision <= 20; ++revision)
     packer.add(revision, bodyOf(configurationOf(20, revision)));
@@ -72,9 +74,9 @@
   EXPECT_EQ(packer.pack(20, 19 - ConfigurationPacker::kMaxEarlierVersions)->base, 0u);
 }
 
-// A relay whose base was another than its sender assumed asks for the next one unpacked, and forwards nothing
-// old.
-TEST(ConfigurationPack, ARelayThatCannotUnpackAsksForItUnpacked) {
+// If the relay's base differs from the one that the primary assumed, the relay requests the next
+// configuration unpacked. Until it has received that, it does not forward the outdated one.
+TEST(ConfigurationPack, ARelayThatCannotUnpackRequestsAnUnpackedConfiguration) {
   Relay relay("r", {"10.0.0.1:1", "z"}, 1, 0);
   EXPECT_TRUE(relay.nextRequest(0, ReportScope::full).acceptsPacked);
   ConfigurationPacker packer;
@@ -88,7 +90,8 @@
   EXPECT_EQ(relay.revision(), 0u);
   FollowRequest request;
   request.name = "g";
-  EXPECT_EQ(relay.handleRequest(20, request).epoch, 0u) << "it knows of a version that it does not have";
+  EXPECT_EQ(relay.handleRequest(20, request).epoch, 0u)
+      << "the relay lacks the newest version that it knows of";
   EXPECT_FALSE(relay.nextRequest(20, ReportScope::full).acceptsPacked);
   response.delta.packedConfiguration = packer.pack(8, 0);
   relay.handleResponse(30, *parseFollowResponse(toFrame(response)), 25);
--- a/tests/fleet/configuration_text.hpp
+++ b/tests/fleet/configuration_text.hpp
@@ -1,4 +1,4 @@
-// Bodies of configurations for the tests of packing.
+// Generates configuration bodies for the tests of packing.
 #pragma once
 
 #include <memory>
@@ -7,7 +7,7 @@
 
 namespace lilacmux::test {
 
-// As long as a configuration of so many routes, and as little repetitive.
+// Returns a text of about the length and redundancy of a configuration with `routes` routes.
 inline std::string configurationOf(std::size_t routes, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::string out;
--- a/tests/fleet/platform_watcher_test.cpp
+++ b/tests/fleet/platform_watcher_test.cpp
@@ -1,5 +1,5 @@
-// The watch over the platform's list: it may be taken away at any moment, as it is when the primary's part is
-// lost.
+// PlatformWatcher: the age of the list it has read, and its destruction at any time, as when a primary loses
+// its lease.
 #include "fleet/platform_watcher.hpp"
 
 #include <gtest/gtest.h>
@@ -19,57 +19,59 @@
 using namespace std::chrono_literals;
 using boost::asio::ip::tcp;
 
-// An address where nobody listens.
+// Returns an address on which no process listens.
 tcp::endpoint closedPort(boost::asio::io_context& io) {
-  tcp::acceptor taken(io, {boost::asio::ip::address_v4::loopback(), 0});
-  return taken.local_endpoint();
+  tcp::acceptor acceptor(io, {boost::asio::ip::address_v4::loopback(), 0});
+  return acceptor.local_endpoint();
 }
 
-// A loop that was delayed may have the pause's end and the removal of the watch before it at the same time:
-// the pause then ends without an error, behind the removal.
-TEST(PlatformWatcher, IsNotUsedOnceItIsTakenAwayInAPauseThatHasEnded) {
+// If the event loop is delayed, the timer may expire before the watcher is destroyed, but its handler runs
+// afterwards. The handler then receives no error code and must not use the watcher.
+TEST(PlatformWatcher, IsNotUsedAfterItsDestructionIfThePauseHasAlreadyExpired) {
   boost::asio::io_context io(1);
   unsigned lines = 0;
-  auto watch = std::make_unique<PlatformWatcher>(
+  auto watcher = std::make_unique<PlatformWatcher>(
       io, closedPort(io), 1000, [](const std::vector<Instance>&) {}, [&](const std::string&) { ++lines; });
-  while (lines == 0) io.run_one();  // the first call has failed, and the pause before the next has begun
+  while (lines == 0)
+    io.run_one();  // until the first request has failed and the pause before the next has begun
   std::this_thread::sleep_for(700ms);
-  boost::asio::post(io,
-                    [gone = std::shared_ptr<PlatformWatcher>(std::move(watch))]() mutable { gone.reset(); });
+  boost::asio::post(io, [destroyed = std::shared_ptr<PlatformWatcher>(std::move(watcher))]() mutable {
+    destroyed.reset();
+  });
   io.restart();
-  io.run();  // ends: nothing is left to do
+  io.run();  // returns when no work remains
   EXPECT_EQ(lines, 1u);
 }
 
-TEST(PlatformWatcher, KnowsWhatStoodOnTheListWhenItsLastCompleteScanBegan) {
+TEST(PlatformWatcher, ListAsOfIsTheStartOfTheLastCompleteScan) {
   boost::asio::io_context io(1);
-  bool fails = false;
-  std::vector<double> asked;
+  bool isFailing = false;
+  std::vector<double> scanStartedAt;
   CallServer platform(
-      io, {boost::asio::ip::address_v4::loopback(), 0}, {}, [&](auto&& call, const auto& respond) {
-        const bool isFirst = call.target() == "/instances";
-        if (isFirst) asked.push_back(steadyMs());
+      io, {boost::asio::ip::address_v4::loopback(), 0}, {}, [&](auto&& request, const auto& respond) {
+        const bool isFirst = request.target() == "/instances";
+        if (isFirst) scanStartedAt.push_back(steadyMs());
         const nlohmann::json page = {{"instances", nlohmann::json::array()},
                                      {"nextPageToken", isFirst ? nlohmann::json("2") : nlohmann::json()}};
         const auto bytes = nlohmann::json::to_msgpack(page);
         using http::status;
-        respond(callReply(fails ? status::service_unavailable : status::ok,
+        respond(callReply(isFailing ? status::service_unavailable : status::ok,
                           std::string(bytes.begin(), bytes.end()), "application/msgpack"));
       });
-  unsigned rounds = 0, lines = 0;
-  const PlatformWatcher watch(
-      io, platform.address(), 100, [&](const std::vector<Instance>&) { ++rounds; },
+  unsigned scans = 0, lines = 0;
+  const PlatformWatcher watcher(
+      io, platform.address(), 100, [&](const std::vector<Instance>&) { ++scans; },
       [&](const std::string&) { ++lines; });
-  EXPECT_EQ(watch.listAsOf(), std::nullopt);
-  while (rounds == 0) io.run_one();
-  ASSERT_EQ(asked.size(), 1u);
-  EXPECT_LE(*watch.listAsOf(), asked[0]) << "what its first page has shown may be older than the last";
-  EXPECT_GE(*watch.listAsOf(), asked[0] - 500);
-  const double before = *watch.listAsOf();
-  fails = true;
+  EXPECT_EQ(watcher.listAsOf(), std::nullopt);
+  while (scans == 0) io.run_one();
+  ASSERT_EQ(scanStartedAt.size(), 1u);
+  EXPECT_LE(*watcher.listAsOf(), scanStartedAt[0]) << "the first page may be older than the last one";
+  EXPECT_GE(*watcher.listAsOf(), scanStartedAt[0] - 500);
+  const double before = *watcher.listAsOf();
+  isFailing = true;
   while (lines == 0) io.run_one();
-  EXPECT_GE(*watch.listAsOf(), before);
-  EXPECT_LT(*watch.listAsOf(), asked[1]) << "what had passed before it failed counts";
+  EXPECT_GE(*watcher.listAsOf(), before);
+  EXPECT_LT(*watcher.listAsOf(), scanStartedAt[1]) << "time before the first failure counts towards the age";
 }
 
 }  // namespace
--- a/tests/fleet/relay_test.cpp
+++ b/tests/fleet/relay_test.cpp
@@ -1,4 +1,4 @@
-// Relays: the order in which gateways try them, what they forward, and how they drain.
+// Relays: the order in which gateways try them, the data they forward, and draining.
 #include "fleet/relay.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 namespace lilacmux::test {
 namespace {
 
-TEST(Relays, AreAskedZoneFirstAndSharedOutEvenly) {
+TEST(Relays, OfTheOwnZoneComeFirstAndShareTheGatewaysEvenly) {
   std::vector<RelayEndpoint> relays;
   relays.reserve(6);
   for (int r = 0; r < 6; ++r) relays.push_back({"10.0.0." + std::to_string(r) + ":1", r < 3 ? "a" : "b"});
@@ -30,60 +30,63 @@
   for (const auto& [address, count] : first) EXPECT_GT(count, 60);
 }
 
-// A response is as old as what it rests on, and says so; a relay without contact to the primary redirects.
-TEST(Relays, SendTheAgeOfTheirResponseAndRedirectOnceItIsOld) {
+// A response states the age of its data. A relay without recent contact to the primary redirects gateways.
+TEST(Relays, ReportTheAgeOfTheirDataAndRedirectWhenItIsStale) {
   Relay relay("r", {"10.0.0.1:1", "z"}, 1, 0);
   FollowRequest request;
   request.name = "g";
   request.full = true;
-  EXPECT_EQ(relay.handleRequest(0, request).epoch, 0u) << "it has heard nothing yet";
+  EXPECT_EQ(relay.handleRequest(0, request).epoch, 0u) << "the relay has had no contact with the primary yet";
   FollowResponse response;
   response.epoch = 5 << 20;
   response.listAgeMs = 400;
   relay.handleResponse(100, response, 90);
-  const auto answer = relay.handleRequest(300, request);
-  EXPECT_DOUBLE_EQ(answer.listAgeMs.value(), 400);
-  EXPECT_DOUBLE_EQ(parseFollowResponse(toFrame(answer))->listAgeMs.value(), 400);
-  EXPECT_EQ(answer.epoch, response.epoch);
-  EXPECT_DOUBLE_EQ(answer.ageMs, 210);
+  const auto relayResponse = relay.handleRequest(300, request);
+  EXPECT_DOUBLE_EQ(relayResponse.listAgeMs.value(), 400);
+  EXPECT_DOUBLE_EQ(parseFollowResponse(toFrame(relayResponse))->listAgeMs.value(), 400);
+  EXPECT_EQ(relayResponse.epoch, response.epoch);
+  EXPECT_DOUBLE_EQ(relayResponse.ageMs, 210);
   EXPECT_EQ(relay.handleRequest(2200, request).epoch, 0u);
   FollowResponse older = response;
   older.epoch = 4 << 20;
   relay.handleResponse(2300, older, 2290);
-  EXPECT_EQ(relay.handleRequest(2300, request).epoch, 0u) << "what an older primary says renews nothing";
+  EXPECT_EQ(relay.handleRequest(2300, request).epoch, 0u)
+      << "a response of an older primary does not count as contact";
 }
 
-// A relay that came before the primary had read its first list gets a snapshot later, and forwards it.
-TEST(Relays, ThatCameBeforeTheFirstListForwardIt) {
+// A relay that connects before the primary has read its first list receives a snapshot later, and forwards
+// it.
+TEST(Relays, ThatConnectBeforeTheFirstListForwardItLater) {
   ChangeLog primary(9), relay;
   relay.apply(9, primary.deltaSince({}, 0));
   EXPECT_EQ(relay.index(), 0u);
   primary.updateServers({{"a", "s", "10.0.0.1:80", "z", 3, false, 0}});
   relay.apply(9, primary.deltaSince({9, relay.index()}, 0));
   EXPECT_EQ(relay.deltaSince({8, 40}, 0).servers->updated.size(), 1u)
-      << "for one that followed another primary before";
+      << "for a gateway that followed another primary before";
   EXPECT_TRUE(relay.deltaSince({8, 40}, 0).isSnapshot());
 }
 
-// What is reserved for a gatekeeper that went elsewhere is no stock for those that are here.
-TEST(Relays, RequestAsMuchForThoseThatStayWhenOthersHaveDetached) {
+// Tokens that are reserved for a gateway that has moved to another relay are not available to the remaining
+// gateways.
+TEST(Relays, RequestTokensForRemainingGatewaysBesidesThoseReservedForDetachedOnes) {
   ShareRelay relay({}, gatekeeperTiming(), 0, 1 << 20);
   relay.responseReceived(0, 0, 4000);
-  relay.handleReport(0, "here", {{"t", 5, 0, 0, 0, 0, 4}}, true);
-  relay.handleReport(0, "gone", {{"t", 5, 0, 0, 0, 0, 4}}, true);
+  relay.handleReport(0, "remaining", {{"t", 5, 0, 0, 0, 0, 4}}, true);
+  relay.handleReport(0, "detached", {{"t", 5, 0, 0, 0, 0, 4}}, true);
   relay.demands(0, ReportScope::full);
   relay.applyGrant(0, {"t", 30, 20}, 7);
-  relay.handleReport(10, "gone", {{"t", 5, 9, 0, 0, 0, 4}}, false);
+  relay.handleReport(10, "detached", {{"t", 5, 9, 0, 0, 0, 4}}, false);
   relay.responseReceived(1500, 1500, 5500);
-  relay.handleReport(1500, "here", {{"t", 5, 0, 0, 0, 0, 4}}, false);
-  const auto response = relay.demands(1500, ReportScope::full);
-  ASSERT_EQ(response.size(), 1u);
-  EXPECT_GT(response[0].requestedTokens, 9 + 4)
-      << "what lies with the one that is gone is asked for beside it";
+  relay.handleReport(1500, "remaining", {{"t", 5, 0, 0, 0, 0, 4}}, false);
+  const auto demands = relay.demands(1500, ReportScope::full);
+  ASSERT_EQ(demands.size(), 1u);
+  EXPECT_GT(demands[0].requestedTokens, 9 + 4)
+      << "tokens in addition to those reserved for the detached gateway";
 }
 
-// A follower that received more from another relay is not taken back.
-TEST(Relays, SendNothingOlderThanTheFollowerHas) {
+// A follower that has received newer changes from another relay does not return to an earlier position.
+TEST(Relays, SendNoDataOlderThanThatOfTheFollower) {
   ChangeLog primary(9);
   const Instance a{"a", "s", "10.0.0.1:80", "z", 3, false, 0};
   Instance draining = a;
@@ -95,19 +98,20 @@
   primary.updateServers({draining});
   ahead.apply(9, primary.deltaSince({9, ahead.index()}, 0));
   EXPECT_EQ(ahead.index(), primary.index());
-  const auto follower = ahead.deltaSince({}, 0);
-  ASSERT_EQ(follower.servers->updated.size(), 1u);
-  EXPECT_TRUE(follower.servers->updated[0].draining);
-  const auto late = behind.deltaSince({9, follower.index}, 0);
-  EXPECT_FALSE(late.servers) << "its older list says nothing to who knows more";
-  EXPECT_EQ(late.index, follower.index);
+  const auto followerDelta = ahead.deltaSince({}, 0);
+  ASSERT_EQ(followerDelta.servers->updated.size(), 1u);
+  EXPECT_TRUE(followerDelta.servers->updated[0].draining);
+  const auto deltaFromBehind = behind.deltaSince({9, followerDelta.index}, 0);
+  EXPECT_FALSE(deltaFromBehind.servers) << "the list of the relay is older than that of the follower";
+  EXPECT_EQ(deltaFromBehind.index, followerDelta.index);
   behind.apply(8, primary.deltaSince({}, 0));
   EXPECT_EQ(behind.epoch(), 9u);
 }
 
-// A relay that drains redirects its gateways with what they hold, and gives the rest back: what it was
-// granted is there for others at once, not only when its lease ends.
-TEST(Relays, ThatDrainRedirectGatewaysAndGiveTheRestBack) {
+// A draining relay redirects its gateways, which retain their holdings, and returns its remaining tokens.
+// Other relays can then use these tokens immediately, not only after the lease of the draining relay has
+// ended.
+TEST(Relays, ThatDrainRedirectGatewaysAndReturnRemainingTokens) {
   Relay relay("r", {"10.0.0.1:1", "z"}, 1, 0);
   FollowResponse response;
   response.epoch = 5 << 20;
@@ -117,21 +121,21 @@
   relay.handleResponse(10, response, 5);
   FollowRequest request;
   request.full = true;
-  for (const char* name : {"silent", "heard"}) {
+  for (const char* name : {"unresponsive", "redirected"}) {
     request.name = name;
     request.zone = "z";
     request.demands = {{"t", 5, 0, 0, 0, 0, 4}};
     EXPECT_NE(relay.handleRequest(20, request).epoch, 0u);
   }
   relay.drain();
-  request.name = "heard";
-  const auto on = relay.handleRequest(30, request);
-  EXPECT_EQ(on.epoch, 0u);
-  EXPECT_EQ(on.leader, "10.0.0.2:1") << "the other one of its zone";
+  request.name = "redirected";
+  const auto redirect = relay.handleRequest(30, request);
+  EXPECT_EQ(redirect.epoch, 0u);
+  EXPECT_EQ(redirect.leader, "10.0.0.2:1") << "the other relay of the zone";
   const auto last = parseFollowRequest(toFrame(relay.detachRequest(40)));
   ASSERT_TRUE(last && last->detaching);
   ASSERT_EQ(last->demands.size(), 1u);
-  EXPECT_NEAR(last->demands[0].reserve, 4, 0.01) << "what lies with the silent one";
+  EXPECT_NEAR(last->demands[0].reserve, 4, 0.01) << "the tokens that the unresponsive gateway holds";
   EXPECT_NEAR(last->demands[0].returnedTokens, 22, 0.01);
   EXPECT_GT(last->demands[0].grantedRate, 0);
 }
--- a/tests/fleet/server_list_page_test.cpp
+++ b/tests/fleet/server_list_page_test.cpp
@@ -1,4 +1,4 @@
-// Parsing one page of the platform's server list.
+// Parsing a page of the platform's server list.
 #include "fleet/server_list_page.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-TEST(Platform, APageThatIsCutShortOrLacksAFieldIsNoPage) {
+TEST(ServerListPage, ATruncatedPageOrOneWithAMissingFieldIsRejected) {
   const json page = {{"instances",
                       {{{"instanceId", "i"},
                         {"targetService", "s"},
@@ -22,16 +22,16 @@
                         {"state", "draining"},
                         {"warmupRemainingMs", 0}}}},
                      {"nextPageToken", "p"}};
-  const std::string whole = pack(page);
-  const auto read = parseServerListPage(whole);
-  ASSERT_TRUE(std::holds_alternative<ServerListPage>(read));
-  EXPECT_EQ(std::get<ServerListPage>(read).nextToken, "p");
-  EXPECT_TRUE(std::get<ServerListPage>(read).instances.at(0).draining);
-  for (std::size_t size = 0; size < whole.size(); ++size)
-    EXPECT_TRUE(std::holds_alternative<ServerListPageError>(parseServerListPage(whole.substr(0, size))));
-  json lacks = page;
-  lacks["instances"][0].erase("address");
-  EXPECT_TRUE(std::holds_alternative<ServerListPageError>(parseServerListPage(pack(lacks))));
+  const std::string bytes = pack(page);
+  const auto parsed = parseServerListPage(bytes);
+  ASSERT_TRUE(std::holds_alternative<ServerListPage>(parsed));
+  EXPECT_EQ(std::get<ServerListPage>(parsed).nextToken, "p");
+  EXPECT_TRUE(std::get<ServerListPage>(parsed).instances.at(0).draining);
+  for (std::size_t size = 0; size < bytes.size(); ++size)
+    EXPECT_TRUE(std::holds_alternative<ServerListPageError>(parseServerListPage(bytes.substr(0, size))));
+  json incomplete = page;
+  incomplete["instances"][0].erase("address");
+  EXPECT_TRUE(std::holds_alternative<ServerListPageError>(parseServerListPage(pack(incomplete))));
 }
 
 }  // namespace
--- a/tests/fleet/snapshot_pack_test.cpp
+++ b/tests/fleet/snapshot_pack_test.cpp
@@ -1,4 +1,4 @@
-// Complete server lists, packed once for all followers.
+// Packing complete server lists, once for all followers.
 #include "fleet/snapshot_pack.hpp"
 
 #include <gtest/gtest.h>
@@ -21,8 +21,8 @@
   return out;
 }
 
-// The list goes before the configuration in one body, and both come out as they were.
-TEST(SnapshotPack, AListAndAConfigurationComeBackAsTheyWere) {
+// The body of one frame contains the packed list followed by the packed configuration.
+TEST(SnapshotPack, AListAndAConfigurationSurviveARoundTrip) {
   SnapshotPacker snapshots;
   ConfigurationPacker packer;
   const auto body = bodyOf(configurationOf(100, 3));
@@ -41,17 +41,17 @@
   EXPECT_LT(response.delta.servers->packedUpdated->bytes.size(), 809 * BulkPacer::kEstimatedServerBytes / 4);
   EXPECT_EQ(snapshots.pack({response.epoch, 4}, response.delta.servers->updated),
             response.delta.servers->packedUpdated)
-      << "packed once for all";
+      << "the packed form is cached";
   EXPECT_NE(snapshots.pack({response.epoch, 5}, response.delta.servers->updated),
             response.delta.servers->packedUpdated);
-  const auto read = parseFollowResponse(toFrame(response));
-  ASSERT_TRUE(read);
-  EXPECT_EQ(read->delta.servers->updated, response.delta.servers->updated);
-  EXPECT_TRUE(read->delta.isSnapshot());
-  EXPECT_EQ(*read->delta.configurationFor(0, nullptr), *body);
+  const auto parsed = parseFollowResponse(toFrame(response));
+  ASSERT_TRUE(parsed);
+  EXPECT_EQ(parsed->delta.servers->updated, response.delta.servers->updated);
+  EXPECT_TRUE(parsed->delta.isSnapshot());
+  EXPECT_EQ(*parsed->delta.configurationFor(0, nullptr), *body);
   Frame damaged = toFrame(response);
   damaged.body[100] ^= 1;
-  EXPECT_FALSE(parseFollowResponse(std::move(damaged))) << "the call has failed";
+  EXPECT_FALSE(parseFollowResponse(std::move(damaged))) << "a damaged list is rejected";
   EXPECT_FALSE(snapshots.pack({response.epoch, 6}, servers(SnapshotPacker::kMinServers - 1)));
 }
 
