--- a/src/fleet/follow_messages.hpp
+++ b/src/fleet/follow_messages.hpp
@@ -42,7 +42,7 @@
   // the holdings that the follower retains.
   bool detaching = false;
   std::vector<ShareDemand> demands;       // for the quotas of tenants
-  RequestSums::Rates requestRates;        // by service, requests per second
+  RequestRateSums::Rates requestRates;    // by service, requests per second
   std::vector<ShareDemand> retryDemands;  // for the retry budgets of services
   std::uint64_t relayListHash = 0;        // of the follower's relay list; 0: none
   std::optional<RelayReport> relay;       // set if the follower is a relay
--- a/src/fleet/follower.cpp
+++ b/src/fleet/follower.cpp
@@ -88,7 +88,7 @@
   connectTo(best);
 }
 
-// Tells the peer to release its reservations for this follower. Ignores the response.
+// Notifies the peer that it may release its reservations for this follower. Ignores the response.
 void Follower::detachFromPeer() {
   if (!isKnownToPeer_ || !client_ || !callbacks_.makeDetachRequest) return;
   client_->call(toFrame(callbacks_.makeDetachRequest()), roundedUp(FollowSchedule::kResponseTimeout),
--- a/src/fleet/packed.hpp
+++ b/src/fleet/packed.hpp
@@ -1,5 +1,5 @@
-// Text compression with zstd (RFC 8878). An earlier text that both sides have may serve as a prefix (zstd's
-// "patch from" mode); the size is then about that of the change.
+// Text compression with zstd (RFC 8878). An earlier text that sender and receiver share may serve as a prefix
+// (zstd's "patch from" mode); the size is then about that of the change.
 #pragma once
 
 #include <cstdint>
--- a/src/fleet/relay.hpp
+++ b/src/fleet/relay.hpp
@@ -62,7 +62,7 @@
   const Millis startedAt_;
   ChangeLog log_;
   ShareRelay quotas_, retries_;
-  RequestSums requestRates_;
+  RequestRateSums requestRates_;
   std::vector<RelayEndpoint> relays_;  // all relays, as listed by the primary
   std::uint64_t relayListHash_ = 0;
   std::size_t gatewayCount_ = 0;  // in the whole system, as reported by the primary
--- a/tests/fleet/catch_up_test.cpp
+++ b/tests/fleet/catch_up_test.cpp
@@ -79,7 +79,7 @@
   std::vector<Instance> list_;
 };
 
-// A gateway and a relay that miss up to 400 changes, while further changes occur between their requests.
+// A gateway and a relay that miss up to 400 changes, while more changes occur between their requests.
 TEST(CatchUp, ADisconnectedFollowerReceivesASnapshotOrChangesAndIsUpToDateAfterwards) {
   unsigned snapshots = 0, changes = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
--- a/tests/fleet/follow_simulation.hpp
+++ b/tests/fleet/follow_simulation.hpp
@@ -32,7 +32,7 @@
   unsigned gateways = 8;
   unsigned servers = 24;
   Millis faultsUntil = 20000, end = 55000;  // simulated time; a fault that has begun lasts up to 20 s
-  Millis finalQuietPeriod = 8000;           // final period without configuration and server changes
+  Millis finalStablePeriod = 8000;          // final period without configuration and server changes
   Millis meanFaultInterval = 900;           // mean time between two faults
   Millis meanConfigurationInterval = 500;   // mean time between two configuration changes
   Millis meanServerInterval = 400;          // mean time between two changes of the platform's list
@@ -212,7 +212,7 @@
     return std::make_shared<const std::string>(std::to_string(revision));
   }
   void scheduleConfigurationChange() {
-    if (events_.now() > plan_.end - plan_.finalQuietPeriod) return;
+    if (events_.now() > plan_.end - plan_.finalStablePeriod) return;
     events_.after(random_.between(0.2, 1.8) * plan_.meanConfigurationInterval,
                   [this] { scheduleConfigurationChange(); });
     Host& leader = *hosts_[leader_];
@@ -242,7 +242,7 @@
     servers_.push_back(server);
   }
   void scheduleServerChange() {
-    if (events_.now() > plan_.end - plan_.finalQuietPeriod) return;
+    if (events_.now() > plan_.end - plan_.finalStablePeriod) return;
     events_.after(random_.between(0.2, 1.8) * plan_.meanServerInterval, [this] { scheduleServerChange(); });
     std::vector<std::size_t> listedServers;
     for (std::size_t s = 0; s < servers_.size(); ++s)
