--- a/tests/fleet/catch_up_test.cpp
+++ b/tests/fleet/catch_up_test.cpp
@@ -167,7 +167,7 @@
 }
 
 // A gateway that moves from a relay with a list to a relay that has not received one yet retains its index.
-// Otherwise the second relay would send it changes that it has already applied.
+// Otherwise the second relay would return it to the older list that is still in flight.
 TEST(CatchUp, ARelayWithoutAListPreservesTheIndexOfAFollower) {
   ChangeLog primary(kEpoch), early;
   early.apply(kEpoch, primary.deltaSince({}, 0));
--- a/tests/fleet/follow_simulation.hpp
+++ b/tests/fleet/follow_simulation.hpp
@@ -61,7 +61,11 @@
 class FollowSimulation {
  public:
   static constexpr Millis kRevocationTimeout = 5000, kRevocationMargin = 800;
-  static constexpr Millis kContactAfterFault = 4000, kMaxDrainDelay = 3000, kMaxListLag = 800;
+  // A machine counts as being in contact again this long after the last fault.
+  static constexpr Millis kContactAfterFault = 4000;
+  // Maximum time until a gateway in contact knows of a draining server, and maximum lag of the platform's
+  // list.
+  static constexpr Millis kMaxDrainDelay = 3000, kMaxListLag = 800;
   static constexpr Millis kDrainTimeout = 5000;  // drainTimeoutMs
   static constexpr Millis kPrimaryLease = 1000, kMemberLease = 1100;
   static constexpr Millis kResponseTimeout = 700, kInterval = 250, kTick = 50, kPreferredRetryDelay = 5000;
@@ -148,8 +152,8 @@
     std::set<std::string> draining;  // known to this incarnation to be draining
   };
   struct Server {
-    Instance now;
-    Millis from = 0;
+    Instance instance;
+    Millis listedSince = 0;
     std::optional<Millis> drainingSince, removedAt;
   };
   Clock drawClock() { return {1 + plan_.clockError * (2 * random_.chance() - 1), random_.between(0, 1e6)}; }
@@ -192,9 +196,9 @@
   void tick() {
     events_.after(kTick, [this] { tick(); });
     Host& leader = *hosts_[leader_];
-    const bool leads =
+    const bool isLeading =
         mayServeAsPrimary(leader) && leader.primaryTerm->epoch == epoch_ && canReachCore(leader);
-    if (leads && hasMajority()) {
+    if (isLeading && hasMajority()) {
       contactAt_ = leader.primaryTerm->contactAt = events_.now();
     } else if (events_.now() > contactAt_ + kMemberLease && hasMajority() && random_.chance() < 0.1) {
       std::vector<std::size_t> candidates;
@@ -206,7 +210,7 @@
       if (host->frozenUntil <= events_.now() && !mayServeAsPrimary(*host)) host->primaryTerm.reset();
     if (delayedShare_ > 0 || lostShare_ > 0 || !hasMajority())
       recordFault();  // no machine has reliable contact
-    check();
+    checkInvariants();
   }
   static std::shared_ptr<const std::string> configurationBody(std::uint64_t revision) {
     return std::make_shared<const std::string>(std::to_string(revision));
@@ -231,14 +235,14 @@
   void addServer() {
     const std::string id = "i-" + std::to_string(servers_.size());
     Server server;
-    server.now = {id,
-                  "s" + std::to_string(random_.index(3)),
-                  "10.1.0." + std::to_string(random_.index(40)) + ":80",
-                  "z",
-                  3,
-                  false,
-                  0};
-    server.from = events_.now();
+    server.instance = {id,
+                       "s" + std::to_string(random_.index(3)),
+                       "10.1.0." + std::to_string(random_.index(40)) + ":80",
+                       "z",
+                       3,
+                       false,
+                       0};
+    server.listedSince = events_.now();
     servers_.push_back(server);
   }
   void scheduleServerChange() {
@@ -259,8 +263,8 @@
   std::vector<Instance> listAt(Millis when) const {
     std::vector<Instance> out;
     for (const Server& server : servers_) {
-      if (server.from > when || (server.removedAt && *server.removedAt <= when)) continue;
-      out.push_back(server.now);
+      if (server.listedSince > when || (server.removedAt && *server.removedAt <= when)) continue;
+      out.push_back(server.instance);
       out.back().draining = server.drainingSince && *server.drainingSince <= when;
     }
     return out;
@@ -272,7 +276,7 @@
     if (host.frozenUntil > events_.now())
       return events_.at(host.frozenUntil, [this, h, epoch, offset] { readPage(h, epoch, offset); });
     if (!plan_.checksDrainsByLease && (host.partitioned || random_.chance() < 0.03))
-      return pageFailed(h, epoch);
+      return handlePageFailure(h, epoch);
     if (offset == 0) {
       host.primaryTerm->scannedServers.clear();
       host.primaryTerm->age.beginScan(host.clock.at(events_.now()));
@@ -288,7 +292,7 @@
     events_.after(500, [this, h, epoch] { readPage(h, epoch, 0); });
   }
   // Starts the next scan after the response has timed out.
-  void pageFailed(std::size_t h, std::uint64_t epoch) {
+  void handlePageFailure(std::size_t h, std::uint64_t epoch) {
     events_.after(500, [this, h, epoch] {
       Host& host = *hosts_[h];
       if (host.primaryTerm && host.primaryTerm->epoch == epoch)
@@ -329,9 +333,9 @@
   // Resets the link for a new incarnation. The request number is retained, so that a response to a request of
   // the previous incarnation is dropped.
   static void resetLink(FollowerLink& link) {
-    const auto request = link.requestNumber;
+    const auto requestNumber = link.requestNumber;
     link = {};
-    link.requestNumber = request;
+    link.requestNumber = requestNumber;
   }
   // Runs `action` on a machine at `when`, or later if the machine is frozen then. Drops the action if the
   // process has restarted in the meantime.
@@ -344,6 +348,7 @@
       action();
     });
   }
+  // Draws the one-way delay of a message, ms.
   Millis networkDelay() {
     return random_.chance() < delayedShare_ ? random_.between(0, 900) : random_.between(0.5, 4);
   }
@@ -423,8 +428,8 @@
     }
     ++link.failures;
     link.returnAt = events_.now() + kPreferredRetryDelay;
-    const auto& best = link.preferred;
-    link.target = link.failures < best.size() ? best[link.failures] : random_.index(hosts_.size());
+    const auto& preferred = link.preferred;
+    link.target = link.failures < preferred.size() ? preferred[link.failures] : random_.index(hosts_.size());
     return response ? 120 : 60;
   }
   void requestFromPrimary(std::size_t h) {
@@ -448,9 +453,10 @@
   }
   void requestFromRelay(std::size_t g) {
     Gateway& gateway = *gateways_[g];
-    const auto& best = gateway.link.preferred;
-    if (!best.empty() && gateway.link.target != best.front() && events_.now() >= gateway.link.returnAt) {
-      gateway.link.target = best.front();
+    const auto& preferred = gateway.link.preferred;
+    if (!preferred.empty() && gateway.link.target != preferred.front() &&
+        events_.now() >= gateway.link.returnAt) {
+      gateway.link.target = preferred.front();
       gateway.link.isKnownToPeer = false;
     }
     FollowRequest request;
@@ -600,7 +606,7 @@
 
   // --- Invariants
 
-  void check() {
+  void checkInvariants() {
     std::uint64_t oldestAllowedRevision = 0;
     for (const auto& [revision, when] : acknowledged_) {
       if (when > events_.now()) break;
@@ -627,30 +633,33 @@
         if (gateway->frozenUntil > events_.now() ||
             !gateway->state->holdsLease(gateway->clock.at(events_.now())))
           continue;
-        const auto found = gateway->state->instances().find(server.now.id);
+        const auto found = gateway->state->instances().find(server.instance.id);
         if (found != gateway->state->instances().end() && !found->second.draining)
-          reportViolation(gateway->name + " may send to " + server.now.id +
+          reportViolation(gateway->name + " may send to " + server.instance.id +
                           ", which has been draining for longer than the drain timeout");
       }
     }
   }
+  // Checks that each gateway in contact knows of all draining servers within kMaxDrainDelay.
   void checkDrainsInContact() {
     const Millis inContactSince = lastFaultAt_ + kContactAfterFault;
     if (events_.now() < inContactSince) return;
     for (const Server& server : servers_) {
       if (!server.drainingSince) continue;
-      const Millis from = std::max(*server.drainingSince, inContactSince);
+      const Millis delayStart = std::max(*server.drainingSince, inContactSince);
       for (const auto& gateway : gateways_) {
         if (gateway->partitioned || gateway->frozenUntil > events_.now()) continue;
-        const auto found = gateway->state->instances().find(server.now.id);
+        const auto found = gateway->state->instances().find(server.instance.id);
         if (found == gateway->state->instances().end() || found->second.draining) continue;
-        results_.maxDrainDelayMs = std::max(results_.maxDrainDelayMs, events_.now() - from);
-        if (events_.now() > from + kMaxDrainDelay &&
+        results_.maxDrainDelayMs = std::max(results_.maxDrainDelayMs, events_.now() - delayStart);
+        if (events_.now() > delayStart + kMaxDrainDelay &&
             events_.now() > *server.drainingSince + kMaxListLag + kMaxDrainDelay)
-          reportViolation(gateway->name + " does not know that " + server.now.id + " is draining");
+          reportViolation(gateway->name + " does not know that " + server.instance.id + " is draining");
       }
     }
   }
+  // Checks that each reachable gateway has a lease, the newest configuration and the servers of the
+  // platform's list.
   void checkFinalState() {
     std::map<std::string, Instance> expected;
     for (const Instance& instance : listAt(events_.now())) expected[instance.id] = instance;
@@ -677,8 +686,8 @@
   std::vector<Server> servers_;
   std::size_t leader_ = 0;
   std::uint64_t epoch_ = 0, revision_ = 0;
-  Millis contactAt_ = 0;  // last contact of the newest primary with a majority
-  std::map<std::uint64_t, Millis> acknowledged_;
+  Millis contactAt_ = 0;                          // last contact of the newest primary with a majority
+  std::map<std::uint64_t, Millis> acknowledged_;  // times of acknowledgement, by revision
   FollowSimulationResults results_;
 };
 
