--- a/src/quota/admission.cpp
+++ b/src/quota/admission.cpp
@@ -11,21 +11,27 @@
 namespace {
 
 constexpr double kMinAdmitFraction = 0.05;
-constexpr double kMeterPeriod = 1000;       // ms of use that one reading covers
-constexpr double kFractionRecovery = 5000;  // ms from the least fraction back to 1 without readings
-constexpr double kDisconnectedBurst = 4;    // tokens that a granted rate alone saves up
-constexpr double kMinRetryAfter = 40;       // ms
-constexpr double kMaxRetryAfter = 2000;     // ms
-constexpr double kMinRefillRate = 0.1;      // tokens a second, for the advised wait
-constexpr double kLowSeconds = 0.15;        // of demand in the reserve, below which more is requested
-constexpr double kLowTokens = 1;            // and tokens
-constexpr double kOneToken = 0.998;         // less what is rounded off on the way; the rest stays owed
-constexpr double kExhaustedFor = 60;        // ms; shorter: a tenant over its quota is asked for all the time
-constexpr double kReportedChange = 0.15;    // of a rate, and so much more: smaller changes are not reported
-constexpr double kReportedChangeOffset = 0.04;  // a second
-
-bool isWorthReporting(double now, double reported) {
-  return std::abs(now - reported) > kReportedChangeOffset + kReportedChange * reported;
+constexpr double kMeteringPeriodMs = 1000;    // period over which the use is measured
+constexpr double kFractionRecoveryMs = 5000;  // from the lowest fraction back to 1 without measurements
+// Capacity of the bucket while disconnected, in addition to one second of the granted rate.
+constexpr double kDisconnectedBurstTokens = 4;
+constexpr double kMinRetryAfterMs = 40;
+constexpr double kMaxRetryAfterMs = 2000;
+constexpr double kMinRefillRate = 0.1;  // tokens per second; lower bound for the estimate of `retryAfter`
+// A reserve is low, and more is requested, if it is below the sum of these.
+constexpr double kLowReserveSeconds = 0.15;  // seconds of demand
+constexpr double kLowReserveTokens = 1;
+// The tokens that one request needs, less a tolerance for the rounding on the wire. The difference remains a
+// deficit of the bucket.
+constexpr double kOneToken = 0.998;
+// A shorter duration causes constant requests for a tenant that is over its quota.
+constexpr double kExhaustedDurationMs = 60;
+// A change of a rate is reported if it exceeds the sum of these.
+constexpr double kReportedRateChange = 0.15;        // fraction of the previous rate
+constexpr double kReportedRateChangeOffset = 0.04;  // requests or tokens per second
+
+bool isReportableChange(double current, double reported) {
+  return std::abs(current - reported) > kReportedRateChangeOffset + kReportedRateChange * reported;
 }
 
 }  // namespace
@@ -40,26 +46,26 @@
   return *found->second;
 }
 
-// It starts empty.
+// Adds an empty bucket.
 Admission::Bucket& Admission::addBucket(Millis now, const std::string& tenant) {
   if (byTenant_.size() >= kMaxTenants) {
     byTenant_.erase(buckets_.front().tenant);
     buckets_.pop_front();
   }
-  Bucket fresh;
-  fresh.tenant = tenant;
-  fresh.filledTo = fresh.periodFrom = fresh.lastReading = fresh.countedFrom = now;
-  buckets_.push_back(std::move(fresh));
+  Bucket bucket;
+  bucket.tenant = tenant;
+  bucket.filledTo = bucket.periodFrom = bucket.lastMeasurementAt = bucket.countedFrom = now;
+  buckets_.push_back(std::move(bucket));
   byTenant_[tenant] = std::prev(buckets_.end());
   return buckets_.back();
 }
 
-// Disconnected, it fills at the granted rate. When the lease has expired it is empty for good: what another
-// gatekeeper may hold by then is not used here as well.
+// While disconnected, refills the bucket at the granted rate. Once the lease has expired, empties it, because
+// its tokens may by then be granted to another gatekeeper.
 void Admission::fill(Bucket& bucket, Millis now) {
   const auto [from, to] = disconnectedSince(bucket.filledTo, now);
   if (to > from) {
-    const double cap = std::max(bucket.tokens, kDisconnectedBurst + bucket.grantedRate);
+    const double cap = std::max(bucket.tokens, kDisconnectedBurstTokens + bucket.grantedRate);
     const double filled = refilled(bucket.tokens, bucket.grantedRate, cap, (to - from) / 1000);
     bucket.hasChanged = bucket.hasChanged || filled != bucket.tokens;
     bucket.unexecutedTokens += filled - bucket.tokens;
@@ -71,36 +77,38 @@
   bucket.filledTo = std::max(bucket.filledTo, now);
 }
 
-// At the end of each period: the requests that were executed, against the tokens that were there for them.
+// At the end of each period, adjusts the admit fraction by the ratio of available tokens to executed
+// requests.
 void Admission::meter(Bucket& bucket, Millis now) {
-  if (now - bucket.periodFrom < kMeterPeriod) return;
+  if (now - bucket.periodFrom < kMeteringPeriodMs) return;
   if (bucket.periodExecuted > 0 && bucket.periodGranted > 0) {
     bucket.admitFraction = std::clamp(bucket.admitFraction * bucket.periodGranted / bucket.periodExecuted,
                                       kMinAdmitFraction, 1.0);
-    bucket.lastReading = now;
-  } else if (now - bucket.lastReading > 2 * kMeterPeriod) {
-    bucket.admitFraction = recovered(bucket.admitFraction, now - bucket.periodFrom, kFractionRecovery);
+    bucket.lastMeasurementAt = now;
+  } else if (now - bucket.lastMeasurementAt > 2 * kMeteringPeriodMs) {
+    bucket.admitFraction = recovered(bucket.admitFraction, now - bucket.periodFrom, kFractionRecoveryMs);
   }
   bucket.periodGranted = std::max(0.0, bucket.tokens);
   bucket.periodExecuted = 0;
   bucket.periodFrom = now;
 }
 
-// Only where a reserve is held at all: else tokens are requested when they are needed.
+// Always false for a tenant without a reserve, whose tokens are requested when they are needed.
 bool Admission::isReserveLow(const Bucket& bucket, Millis now) const {
-  return bucket.tokens < kLowTokens + kLowSeconds * bucket.requestRate && now >= bucket.exhaustedUntil &&
-         reserveFor(timing(), bucket.requestRate) > 0;
+  return bucket.tokens < kLowReserveTokens + kLowReserveSeconds * bucket.requestRate &&
+         now >= bucket.exhaustedUntil && reserveFor(timing(), bucket.requestRate) > 0;
 }
 
 // --- Requests
 
-Admission::Verdict Admission::tryAdmit(Millis now, const std::string& tenant, double chance, bool isRepeat) {
-  if (!limited_.contains(tenant)) return {};
+Admission::Verdict Admission::tryAdmit(Millis now, const std::string& tenant, double randomDraw,
+                                       bool isRepeat) {
+  if (!limitedTenants_.contains(tenant)) return {};
   Bucket& bucket = lookUp(now, tenant);
   if (!isRepeat) bucket.newRequests += 1;
   bucket.hasChanged = true;
   const bool hasToken = bucket.tokens >= kOneToken;
-  if (hasToken && (bucket.unexecutedTokens >= kOneToken || chance < bucket.admitFraction)) {
+  if (hasToken && (bucket.unexecutedTokens >= kOneToken || randomDraw < bucket.admitFraction)) {
     bucket.tokens -= 1;
     if (isReserveLow(bucket, now)) {
       bucket.isLow = true;
@@ -108,8 +116,8 @@
     }
     return {};
   }
-  const double untilToken = 1000 * (1 - bucket.tokens) / std::max(bucket.grantedRate, kMinRefillRate);
-  const Millis retryAfter = std::clamp(untilToken, kMinRetryAfter, kMaxRetryAfter);
+  const double msUntilToken = 1000 * (1 - bucket.tokens) / std::max(bucket.grantedRate, kMinRefillRate);
+  const Millis retryAfter = std::clamp(msUntilToken, kMinRetryAfterMs, kMaxRetryAfterMs);
   if (hasToken || isDisconnected(now) || now < bucket.exhaustedUntil) return {false, false, retryAfter};
   bucket.waitingRequests += 1;
   need_ = Need::waiting;
@@ -131,13 +139,14 @@
 }
 
 void Admission::setLimitedTenants(const std::vector<std::string>& tenants) {
-  limited_ = {tenants.begin(), tenants.end()};
+  limitedTenants_ = {tenants.begin(), tenants.end()};
 }
 
 // --- Reports and grants
 
 ShareDemand Admission::demandOf(Bucket& bucket, Millis now) const {
-  // Before a span is over, at least what its end would report, so that a burst of requests is seen at once.
+  // Before the minimum span is over, report at least the rate expected at its end, so that the relay learns
+  // of a burst of requests at once.
   const Millis span = std::max(now - bucket.countedFrom, kMinRateSpan);
   const double requestRate = smoothedRate(bucket.requestRate, bucket.newRequests, span);
   double reportedRate = std::max(bucket.requestRate, requestRate);
@@ -160,11 +169,12 @@
 std::vector<ShareDemand> Admission::demands(Millis now, ReportScope scope) {
   std::vector<ShareDemand> out;
   for (Bucket& bucket : buckets_) {
-    if (!limited_.contains(bucket.tenant)) continue;
+    if (!limitedTenants_.contains(bucket.tenant)) continue;
     if (scope == ReportScope::urgent && bucket.waitingRequests == 0 && !bucket.isLow) continue;
     fill(bucket, now);
     ShareDemand demand = demandOf(bucket, now);
-    const bool isUnchanged = !bucket.hasChanged && !isWorthReporting(demand.requestRate, bucket.reportedRate);
+    const bool isUnchanged =
+        !bucket.hasChanged && !isReportableChange(demand.requestRate, bucket.reportedRate);
     if (scope == ReportScope::delta && isUnchanged) continue;
     bucket.reportedRate = demand.requestRate;
     bucket.reportedWaitingRequests = bucket.waitingRequests;
@@ -192,11 +202,11 @@
 }
 
 void Admission::responseReceived(Millis now, Millis sentAt, Millis leaseUntil) {
-  if (isExpired(now))  // and all that was held with the lease
+  if (isExpired(now))  // the buckets are emptied with it
     for (Bucket& bucket : buckets_) fill(bucket, now);
   renewLease(sentAt, leaseUntil);
   for (Bucket& bucket : buckets_) {
-    bucket.waitingRequests = 0;  // requests that still wait ask again
+    bucket.waitingRequests = 0;  // requests that still wait call `tryAdmit` again
     bucket.isInFlight = false;
   }
 }
@@ -204,7 +214,7 @@
 void Admission::applyGrant(Millis now, const ShareGrant& grant, std::uint64_t grantNumber) {
   Bucket& bucket = lookUp(now, grant.tenant);
   bucket.hasChanged =
-      bucket.hasChanged || grant.tokens != 0 || isWorthReporting(grant.rate, bucket.grantedRate);
+      bucket.hasChanged || grant.tokens != 0 || isReportableChange(grant.rate, bucket.grantedRate);
   bucket.grantedRate = grant.rate;
   bucket.grantNumber = grantNumber;
   bucket.tokens += grant.tokens;
@@ -212,7 +222,7 @@
   bucket.periodGranted += std::max(0.0, grant.tokens);
   const bool isExhausted = bucket.reportedWaitingRequests > 0 &&
                            bucket.tokens < kOneToken * bucket.reportedWaitingRequests && !grant.moreExpected;
-  if (isExhausted) bucket.exhaustedUntil = now + kExhaustedFor;
+  if (isExhausted) bucket.exhaustedUntil = now + kExhaustedDurationMs;
 }
 
 void Admission::requestFailed() {
--- a/src/quota/admission.hpp
+++ b/src/quota/admission.hpp
@@ -1,9 +1,9 @@
-// Admission at one gatekeeper, before a request goes anywhere: a token bucket a tenant, which holds the
-// tokens that the gatekeeper's relay granted, and the admit fraction that metered use feeds. A tenant whose
-// requests come here seldom has no reserve: its tokens lie at the relay, and are requested when they are
-// needed. The same bucket holds the retry budgets, with services in place of tenants.
+// Admission control at one gatekeeper, applied before a request is forwarded. Each tenant has a token bucket,
+// filled by grants from the gatekeeper's relay, and an admit fraction, computed from metered use. A tenant
+// with few requests at this gatekeeper has no reserve: its tokens stay at the relay and are requested when
+// they are needed. The same class enforces the retry budgets, with services in place of tenants.
 //
-// A state machine without a clock, used by one thread; times are ms of the host's monotonic clock.
+// A state machine without a clock. Used by one thread. Times are ms of the host's monotonic clock.
 #pragma once
 
 #include <cstdint>
@@ -19,26 +19,27 @@
 
 class Admission : public GrantHolder {
  public:
-  static constexpr std::size_t kMaxTenants = 4096;  // in memory; the least recently used make room
+  static constexpr std::size_t kMaxTenants = 4096;  // buckets in memory; the least recently used is evicted
 
   Admission() : GrantHolder(gatekeeperTiming()) {}
 
   struct Verdict {
-    bool admitted = true;        // a token is taken
-    bool tokenExpected = false;  // else: one may come within some ms
-    Millis retryAfter = 0;       // else: ms after which there may be a token
+    bool admitted = true;        // a tenant with a limit has paid one token
+    bool tokenExpected = false;  // when not admitted: the relay may grant a token within some ms
+    Millis retryAfter = 0;       // when not admitted: estimated ms until a token is available
   };
-  // `chance`: drawn evenly from 0 to below 1. A tenant without a limit is always admitted. `isRepeat`: the
-  // same request was asked for before, and waits.
-  Verdict tryAdmit(Millis now, const std::string& tenant, double chance, bool isRepeat = false);
-  // An admitted request ended. Where it is known not to have been executed its token comes back.
+  // Takes a token for one request of the tenant. A tenant without a limit is always admitted. `randomDraw` is
+  // uniform in [0, 1). `isRepeat` is true if the same request was not admitted before and waits for a token.
+  Verdict tryAdmit(Millis now, const std::string& tenant, double randomDraw, bool isRepeat = false);
+  // Records the end of an admitted request. If the request is known not to have been executed, its token is
+  // returned to the bucket.
   void requestEnded(Millis now, const std::string& tenant, bool wasExecuted);
 
-  // Whether an urgent report should be sent: some reserve is low, or a request waits for a token.
+  // The reason to send an urgent report, if any: a reserve is low, or a request waits for a token.
   enum class Need { none, low, waiting };
   Need need() const { return need_; }
 
-  // The tenants that have a limit in the configuration in force; all others pass.
+  // Sets the tenants that have a limit in the current configuration. All other tenants are always admitted.
   void setLimitedTenants(const std::vector<std::string>& tenants);
 
   std::vector<ShareDemand> demands(Millis now, ReportScope scope) override;
@@ -51,27 +52,27 @@
   struct Bucket {
     std::string tenant;
     double tokens = 0;       // the reserve
-    double grantedRate = 0;  // tokens a second, for while it is disconnected
+    double grantedRate = 0;  // tokens per second that may be used while disconnected
     std::uint64_t grantNumber = 0;
-    Millis filledTo = 0;  // the bucket holds what came up to here
+    Millis filledTo = 0;  // time up to which the bucket has been refilled
 
-    double unexecutedTokens = 0;  // granted, less the requests that are known to have been executed
-    double admitFraction = 1;     // of the requests, those admitted while that estimate is used up
-    Millis periodFrom = 0;        // of the metered period
-    double periodGranted = 0;     // tokens that were there in it
-    double periodExecuted = 0;    // requests that were executed in it
-    Millis lastReading = 0;       // when the admit fraction was set by a period's use
+    double unexecutedTokens = 0;   // granted tokens minus requests known to have been executed
+    double admitFraction = 1;      // fraction of requests admitted once `unexecutedTokens` is used up
+    Millis periodFrom = 0;         // start of the current metering period
+    double periodGranted = 0;      // tokens that were available in this period
+    double periodExecuted = 0;     // requests that were executed in this period
+    Millis lastMeasurementAt = 0;  // when the use in a period last set the admit fraction
 
-    double newRequests = 0;  // since `countedFrom`
+    double newRequests = 0;  // requests since `countedFrom`
     Millis countedFrom = 0;
-    double requestRate = 0;              // requests a second
-    double reportedRate = 0;             // the same in the last report
+    double requestRate = 0;              // requests per second
+    double reportedRate = 0;             // request rate in the last report, per second
     double waitingRequests = 0;          // requests that found no token since the last report
-    double reportedWaitingRequests = 0;  // those of the last report
-    Millis exhaustedUntil = kNever;      // the relay has no tokens for now
+    double reportedWaitingRequests = 0;  // waiting requests in the last report
+    Millis exhaustedUntil = kNever;      // until then the relay is assumed to have no tokens
     bool hasChanged = true;              // since the last report
-    bool isInFlight = false;             // reported in the request that is not answered yet
-    bool isLow = false;                  // the reserve was found low since the last report
+    bool isInFlight = false;             // part of the report that is not answered yet
+    bool isLow = false;                  // the reserve was low at some time since the last report
   };
   Bucket& lookUp(Millis now, const std::string& tenant);
   Bucket& addBucket(Millis now, const std::string& tenant);
@@ -80,8 +81,8 @@
   bool isReserveLow(const Bucket& bucket, Millis now) const;
   ShareDemand demandOf(Bucket& bucket, Millis now) const;
 
-  std::unordered_set<std::string> limited_;
-  std::list<Bucket> buckets_;  // the most recently used last
+  std::unordered_set<std::string> limitedTenants_;
+  std::list<Bucket> buckets_;  // from the least to the most recently used
   std::unordered_map<std::string, std::list<Bucket>::iterator> byTenant_;
   Need need_ = Need::none;
 };
--- a/src/quota/grant_holder.hpp
+++ b/src/quota/grant_holder.hpp
@@ -1,7 +1,6 @@
-// The holder's end of a ledger of shares: what it reports, and how it takes replies in. Implemented by a
-// gatekeeper
-// (`Admission`) and by a relay (`ShareRelay`). The host sends a report every some 250 ms, or at once where
-// tokens are short, with one request in flight at a time:
+// The holder's side of a ledger of shares: sends reports and applies the replies. Implemented by a gatekeeper
+// (`Admission`) and by a relay (`ShareRelay`). The host sends a report about every 250 ms, or at once when
+// tokens are short, with at most one request in flight:
 //
 //   demands(...) -> request -> responseReceived(...), then applyGrant(...) for each grant of the reply
 //                          -> requestFailed()
@@ -26,16 +25,15 @@
   GrantHolder& operator=(const GrantHolder&) = delete;
   GrantHolder& operator=(GrantHolder&&) = delete;
 
-  // The next report; what it names counts as reported.
+  // Returns the next report and marks the tenants in it as reported.
   virtual std::vector<ShareDemand> demands(Millis now, ReportScope scope) = 0;
-  // The last report, as this holder shuts down: what it holds goes back.
+  // Returns the last report before this holder shuts down, with the tokens that go back to the ledger.
   virtual std::vector<ShareDemand> finalDemands(Millis now) = 0;
 
-  // The request with the last report was answered. It was sent at `sentAt`; what is granted expires at
-  // `leaseUntil`.
+  // Handles the reply to the last report, which was sent at `sentAt`. Grants expire at `leaseUntil`.
   virtual void responseReceived(Millis now, Millis sentAt, Millis leaseUntil) = 0;
   virtual void applyGrant(Millis now, const ShareGrant& grant, std::uint64_t grantNumber) = 0;
-  // Or it was not: what it named is reported again.
+  // Handles a report without a reply: its tenants are reported again.
   virtual void requestFailed() = 0;
 
  protected:
@@ -53,8 +51,8 @@
   bool isExpired(Millis now) const { return now >= leaseUntil_; }
   bool isDisconnected(Millis now) const { return now >= sentAt_ + timing_.disconnectedAfter; }
 
-  // From `filledTo` to now, the time in which the granted rate may be used: disconnected, with a lease. Empty
-  // where `to <= from`.
+  // Returns the part of the time from `filledTo` to `now` in which the holder was disconnected and had a
+  // lease, so that it may use its granted rate. The span is empty if `to <= from`.
   struct Span {
     Millis from, to;
   };
@@ -66,7 +64,7 @@
 
  private:
   const ShareTiming timing_;
-  Millis sentAt_ = kNever;  // of the request that was answered last
+  Millis sentAt_ = kNever;  // send time of the last report that was answered
   Millis leaseUntil_ = kNever;
 };
 
--- a/src/quota/grant_table.cpp
+++ b/src/quota/grant_table.cpp
@@ -5,7 +5,7 @@
 namespace lilacmux {
 namespace {
 
-constexpr double kAverageRequestRateWeight = 0.06;  // of each reported request rate in its running average
+constexpr double kAverageRequestRateWeight = 0.06;  // of each reported rate in the moving average
 
 }  // namespace
 
@@ -23,11 +23,11 @@
 void GrantTable::applyDemand(Holding& holding, const ShareDemand& demand, bool isKnown) {
   const bool isConfirmed = demand.grantNumber > 0 && demand.grantNumber == holding.grantNumber;
   if (isKnown) {
-    // A relay may have sub-granted more than it is granted now, and reports that.
+    // A relay reports its sub-granted rates, which may exceed its current grant.
     holding.confirmedRate =
         std::max(isConfirmed ? holding.offeredRate : holding.effectiveRate(), demand.grantedRate);
-    const bool comesBack = isConfirmed ? holding.inTransit < 0 : holding.inTransit > 0;
-    if (comesBack) bucket += std::abs(holding.inTransit);
+    const bool isReturned = isConfirmed ? holding.inTransit < 0 : holding.inTransit > 0;
+    if (isReturned) bucket += std::abs(holding.inTransit);
   } else {
     holding.confirmedRate = demand.grantedRate;
   }
@@ -39,7 +39,7 @@
 void GrantTable::erase(std::unordered_map<std::string, Holding>::iterator holding) {
   addToSums(holding->second, -1);
   holdings.erase(holding);
-  if (holdings.empty()) sums = {};  // with what rounding has left
+  if (holdings.empty()) sums = {};  // discards accumulated rounding errors
 }
 
 void GrantTable::addToSums(const Holding& holding, int sign) {
--- a/src/quota/grant_table.hpp
+++ b/src/quota/grant_table.hpp
@@ -1,5 +1,6 @@
-// The grants of one tenant's quota: the token bucket, what each holder has of it, and sums over the holders,
-// so that a report costs by the tenants that it names and not by the number of holders.
+// The state of one tenant's quota at a ledger: the token bucket, the holdings of all holders, and their sums.
+// The sums are updated with each holding, so the cost of a report depends on the tenants that it names and
+// not on the number of holders.
 #pragma once
 
 #include <algorithm>
@@ -12,36 +13,37 @@
 
 namespace lilacmux {
 
-// What fills the buckets of a ledger.
+// The source that refills the buckets of a ledger.
 enum class BucketRefill {
   byQuota,   // the quota's rate, up to its burst (the primary's ledger)
-  bySupply,  // what is added by `ShareLedger::addTokens`, without a limit (a relay's ledger)
+  bySupply,  // calls of `ShareLedger::addTokens`, without a limit (a relay's ledger)
 };
 
-// What one holder has of one tenant.
+// One holder's share of one tenant's quota.
 struct Holding {
-  double requestRate = 0;      // requests a second
+  double requestRate = 0;      // requests per second
   double reserve = 0;          // tokens, as reported
-  double inTransit = 0;        // tokens granted and not yet confirmed; below 0: asked back
-  double confirmedRate = 0;    // tokens a second that it may use while it is disconnected
-  double offeredRate = 0;      // the same by the newest grant, which may not have arrived
+  double inTransit = 0;        // tokens granted and not confirmed yet; below 0: tokens to be returned
+  double confirmedRate = 0;    // tokens per second that the holder may use while disconnected
+  double offeredRate = 0;      // the same in the newest grant, which may not have arrived
   double waitingRequests = 0;  // requests without a token
   double requestedTokens = 0;
-  double averageRequestRate = -1;  // its request rate, averaged over some seconds; below 0: not reported yet
-  std::uint64_t grantNumber = 0;   // of the newest grant
+  double averageRequestRate = -1;  // moving average over some seconds; below 0 before the first report
+  std::uint64_t grantNumber = 0;   // number of the newest grant
 
-  // The rate to reckon with: the grant in transit may or may not have arrived.
+  // Returns the higher of the confirmed and the offered rate, because the newest grant may or may not have
+  // arrived.
   double effectiveRate() const { return confirmedRate > offeredRate ? confirmedRate : offeredRate; }
-  // Waiting requests that its own reserve does not serve.
+  // Returns the number of waiting requests that the holder's own reserve does not cover.
   double unservedRequests() const { return std::max(0.0, waitingRequests - std::max(0.0, reserve)); }
-  // Takes over what the holder reports, but for the grants in transit.
+  // Copies the reported values; leaves the grant in transit unchanged.
   void setReported(const ShareDemand& demand);
 };
 
 struct GrantTable {
   using Millis = double;
 
-  // Over all holdings.
+  // Sums over all holdings.
   struct Sums {
     double tokens = 0;  // in reserves and in transit
     double requestRate = 0;
@@ -53,15 +55,15 @@
   };
 
   Quota quota;
-  double bucket = 0;                                  // tokens; below 0: owed
-  Millis filledTo = 0;                                // the bucket holds what came up to here
+  double bucket = 0;                                  // tokens; below 0: a deficit that refills cover first
+  Millis filledTo = 0;                                // time up to which the bucket has been refilled
   std::unordered_map<std::string, Holding> holdings;  // by holder
   Sums sums;
 
-  // Tokens that the bucket may hold beside what is granted.
+  // Returns the capacity of the bucket: the burst minus the granted tokens.
   double room() const { return quota.burst > sums.tokens ? quota.burst - sums.tokens : 0; }
 
-  // Changes a holding and keeps the sums right.
+  // Changes a holding and updates the sums.
   template <class Change>
   void update(Holding& holding, Change change) {
     addToSums(holding, -1);
@@ -69,8 +71,9 @@
     addToSums(holding, +1);
   }
 
-  // Takes in a holder's report. `isKnown`: it reports to this ledger not for the first time. What was in
-  // transit has arrived, or never will: a holder applies the newest reply alone.
+  // Applies a holder's report. `isKnown` is false for its first report to this ledger. Afterwards nothing is
+  // in transit: a holder applies only the newest reply, so tokens in transit have arrived by now or never
+  // will. Call within `update`.
   void applyDemand(Holding& holding, const ShareDemand& demand, bool isKnown);
 
   void erase(std::unordered_map<std::string, Holding>::iterator holding);
--- a/src/quota/holder_activity.cpp
+++ b/src/quota/holder_activity.cpp
@@ -21,8 +21,8 @@
 }
 
 const std::string* HolderActivity::expired(Millis now, Millis lease) const {
-  const bool any = !byAge_.empty() && now - byAge_.begin()->first >= lease;
-  return any ? &byAge_.begin()->second : nullptr;
+  const bool hasExpired = !byAge_.empty() && now - byAge_.begin()->first >= lease;
+  return hasExpired ? &byAge_.begin()->second : nullptr;
 }
 
 std::size_t HolderActivity::count(Millis now, Millis lease) const {
@@ -40,8 +40,8 @@
 std::vector<std::string> HolderActivity::otherIncarnations(const std::string& holder) const {
   const std::string name = nameWithoutIncarnation(holder);
   std::vector<std::string> out;
-  for (const auto& [other, lastReport] : lastReport_)
-    if (other != holder && nameWithoutIncarnation(other) == name) out.push_back(other);
+  for (const auto& [candidate, lastReport] : lastReport_)
+    if (candidate != holder && nameWithoutIncarnation(candidate) == name) out.push_back(candidate);
   return out;
 }
 
--- a/src/quota/holder_activity.hpp
+++ b/src/quota/holder_activity.hpp
@@ -1,4 +1,5 @@
-// When each grant holder reported last, so that those that no longer do are found without a walk over all.
+// The times of the last reports of all grant holders, ordered by age, so that expired and unresponsive
+// holders are found without a walk over all holders.
 #pragma once
 
 #include <set>
@@ -14,22 +15,23 @@
   using Millis = double;
 
   bool contains(const std::string& holder) const { return lastReport_.contains(holder); }
-  // Of a holder that is contained.
+  // Returns the time of the holder's last report. Requires `contains(holder)`.
   Millis lastReport(const std::string& holder) const { return lastReport_.at(holder); }
 
   void reported(Millis now, const std::string& holder);
   void erase(const std::string& holder);
 
-  // A holder whose last report is `lease` ms old or older; null: there is none.
+  // Returns a holder whose last report is at least `lease` ms old, or null if there is none.
   const std::string* expired(Millis now, Millis lease) const;
-  // Those that are not expired.
+  // Returns the number of holders that are not expired.
   std::size_t count(Millis now, Millis lease) const;
-  // Whether any incarnation of the holder of this name is here.
+  // Returns whether any incarnation of the holder with this name is present.
   bool containsName(const std::string& name) const;
-  // Other incarnations of this holder.
+  // Returns all other incarnations of this holder.
   std::vector<std::string> otherIncarnations(const std::string& holder) const;
 
-  // Calls `visit(holder, lastReport)` for those whose last report is older than `age` ms, the oldest first.
+  // Calls `visit(holder, lastReport)` for each holder whose last report is more than `age` ms old, the oldest
+  // first.
   template <class Visit>
   void forEachOlder(Millis now, Millis age, Visit visit) const {
     for (const auto& [lastReport, holder] : byAge_) {
@@ -40,7 +42,7 @@
 
  private:
   std::unordered_map<std::string, Millis> lastReport_;  // by holder
-  std::set<std::pair<Millis, std::string>> byAge_;      // the same, the oldest first
+  std::set<std::pair<Millis, std::string>> byAge_;      // the same entries, the oldest first
 };
 
 }  // namespace lilacmux
--- a/src/quota/quota.cpp
+++ b/src/quota/quota.cpp
@@ -3,16 +3,16 @@
 namespace lilacmux {
 namespace {
 
-// Of what may be admitted beyond the limit, the part that raises the rate; the rest raises the burst.
-constexpr double kRatePart = 0.2;
+// Fraction of the tolerance beyond the limit that raises the rate. The remainder raises the burst.
+constexpr double kRateFraction = 0.2;
 
 }  // namespace
 
 Quota QuotaRule::quotaFor(double rate, double burst) const {
   const double limit = rate * windowSeconds + burst;
-  const double beyond = (limit * overage + slack) * (1 - safetyMargin);
-  const double raisedRate = rate + kRatePart * beyond / windowSeconds;
-  return {raisedRate, limit + beyond - raisedRate * windowSeconds};
+  const double tolerance = (limit * overage + slack) * (1 - safetyMargin);
+  const double raisedRate = rate + kRateFraction * tolerance / windowSeconds;
+  return {raisedRate, limit + tolerance - raisedRate * windowSeconds};
 }
 
 }  // namespace lilacmux
--- a/src/quota/rate_meter.hpp
+++ b/src/quota/rate_meter.hpp
@@ -1,5 +1,5 @@
-// The rate at which something comes, by name: an exponentially weighted average with a memory of a second.
-// Times are ms, rates a second. Header only.
+// Event rates by name: exponentially weighted moving averages with a time constant of one second. Times are
+// ms, rates are per second. Header only.
 #pragma once
 
 #include <cmath>
@@ -8,11 +8,11 @@
 
 namespace lilacmux {
 
-constexpr double kMinRateSpan = 200;  // ms that one reading covers at least; shorter ones are mostly chance
+constexpr double kMinRateSpan = 200;  // ms; a rate measured over a shorter span is mostly noise
 
-// The average `rate` after `count` more within `span` ms.
+// Returns the average after `count` more events within `span` ms, given the previous average `rate`.
 inline double smoothedRate(double rate, double count, double span) {
-  constexpr double kTimeConstant = 1000;  // ms; shorter: one request looks like a crowd
+  constexpr double kTimeConstant = 1000;  // ms; with a shorter one, a single request looks like a high rate
   return rate + (1000 * count / span - rate) * (1 - std::exp(-span / kTimeConstant));
 }
 
@@ -20,7 +20,8 @@
  public:
   void count(const std::string& name) { meters_[name].count += 1; }
 
-  // The rates of all names that were ever counted, up to now.
+  // Returns the current rates of all names that were ever counted. Updates the averages if at least
+  // `kMinRateSpan` has passed since they were last updated.
   std::map<std::string, double> perSecond(double now) {
     std::map<std::string, double> out;
     const double span = now - countedFrom_;
@@ -38,7 +39,7 @@
 
  private:
   struct Meter {
-    double count = 0;  // since `countedFrom_`
+    double count = 0;  // events since `countedFrom_`
     double rate = 0;
   };
   std::map<std::string, Meter> meters_;
--- a/src/quota/request_sums.hpp
+++ b/src/quota/request_sums.hpp
@@ -1,5 +1,6 @@
-// Requests a second, by service, summed over the processes that report them. The sums are kept and not
-// walked: a report costs by what it names. A state machine without a clock; times are ms. Header only.
+// Request rates by service, summed over all processes that report them. The sums are updated with each
+// report, so its cost depends on the services that it names and not on the number of reporters. A state
+// machine without a clock. Times are ms, rates are per second. Header only.
 #pragma once
 
 #include <algorithm>
@@ -13,27 +14,27 @@
 class RequestRateSums {
  public:
   using Millis = double;
-  using Rates = std::map<std::string, double>;  // requests a second, by service
+  using Rates = std::map<std::string, double>;  // requests per second, by service
 
-  // Replaces what this reporter reported before.
+  // Replaces the previous report of this reporter.
   void report(Millis now, const std::string& reporter, const Rates& rates) {
     Report& report = reports_[reporter];
     addToSums(report.rates, -1);
     report.rates = rates;
     addToSums(report.rates, +1);
-    byAge_.erase({report.at, reporter});
-    report.at = now;
+    byAge_.erase({report.reportedAt, reporter});
+    report.reportedAt = now;
     byAge_.insert({now, reporter});
     dropExpired(now);
   }
-  // Of all services that were ever reported; 0 where no more requests come.
+  // Returns the sums for all services that were ever reported; 0 for a service without recent requests.
   const Rates& rates() const { return sums_; }
 
  private:
   static constexpr Millis kReportLifetime = 1500;
 
   struct Report {
-    Millis at = 0;
+    Millis reportedAt = 0;
     Rates rates;
   };
 
@@ -50,7 +51,7 @@
   }
 
   std::map<std::string, Report> reports_;           // by reporter
-  std::set<std::pair<Millis, std::string>> byAge_;  // the same, the oldest first
+  std::set<std::pair<Millis, std::string>> byAge_;  // the same reports, the oldest first
   Rates sums_;
 };
 
--- a/src/quota/retry_ledger.cpp
+++ b/src/quota/retry_ledger.cpp
@@ -3,9 +3,9 @@
 namespace lilacmux {
 namespace {
 
-// The parts of the rule that are used: the request rates are smoothed and some 200 ms old.
-constexpr double kUsedRatio = 0.9;
-constexpr double kUsedSlack = 0.8;
+// Fractions of the rule that are used, because the request rates are smoothed and about 200 ms old.
+constexpr double kUsedRatioFraction = 0.9;
+constexpr double kUsedSlackFraction = 0.8;
 
 }  // namespace
 
@@ -17,12 +17,14 @@
                                      const std::vector<ShareDemand>& demands, bool isFull) {
   requests_.report(now, holder, requests);
   for (const auto& [service, requestRate] : requests_.rates())
-    shares_.setQuota(now, service, {kUsedRatio * rule_.ratio * requestRate, kUsedSlack * rule_.slack});
+    shares_.setQuota(now, service,
+                     {kUsedRatioFraction * rule_.ratio * requestRate, kUsedSlackFraction * rule_.slack});
   return shares_.handleReport(now, holder, demands, isFull);
 }
 
-void RetryLedger::release(Millis now, const std::string& holder, const std::vector<ShareDemand>& rest) {
-  shares_.release(now, holder, rest);
+void RetryLedger::release(Millis now, const std::string& holder,
+                          const std::vector<ShareDemand>& finalReport) {
+  shares_.release(now, holder, finalReport);
 }
 
 void RetryLedger::confirmIncarnation(Millis now, const std::string& relay) {
--- a/src/quota/share_ledger.cpp
+++ b/src/quota/share_ledger.cpp
@@ -55,7 +55,8 @@
   capBucket(table);
 }
 
-// Tokens since the last refill. During the recovery period only the rates that were reported count.
+// Returns the tokens that accrued since the last refill. During the recovery period, only the reported rates
+// count.
 double ShareLedger::refillOf(const GrantTable& table, Millis now) const {
   if (refill_ != Refill::byQuota) return 0;
   const Millis recoveredAt =
@@ -65,7 +66,8 @@
          1000;
 }
 
-// Unresponsive holders may be using their granted rates: that goes to their reserves. The rest of `tokens`.
+// Unresponsive holders may be using their granted rates. Adds the tokens for that to their reserves and
+// returns `tokens` without them.
 double ShareLedger::setAsideForUnresponsive(GrantTable& table, Millis now, double tokens) {
   forEachUnresponsive(table, now, [&](Holding& holding, Millis lastReport) {
     const Millis from = std::max(table.filledTo, lastReport + timing_.unresponsiveAfter);
@@ -84,7 +86,7 @@
 
 // --- Holders
 
-// Calls `visit(holding, lastReport)` for the holders that have not reported for `unresponsiveAfter`.
+// Calls `visit(holding, lastReport)` for each holder that has not reported for more than `unresponsiveAfter`.
 template <class Visit>
 void ShareLedger::forEachUnresponsive(GrantTable& table, Millis now, Visit visit) {
   holders_.forEachOlder(now, timing_.unresponsiveAfter, [&](const std::string& holder, Millis lastReport) {
@@ -95,16 +97,17 @@
   });
 }
 
-// What an unresponsive holder may have used is set aside before its report counts.
-void ShareLedger::noteReport(Millis now, const std::string& holder) {
+// Drops expired holders and records the report of a known holder. Tokens that it may have used while it was
+// unresponsive are set aside first.
+void ShareLedger::recordReport(Millis now, const std::string& holder) {
   while (const std::string* expired = holders_.expired(now, timing_.lease))
-    forgetHolder(now, std::string(*expired));
+    dropHolder(now, std::string(*expired));
   if (!holders_.contains(holder)) return;
   if (now - holders_.lastReport(holder) > timing_.unresponsiveAfter) fillAll(now);
   holders_.reported(now, holder);
 }
 
-void ShareLedger::forgetHolder(Millis now, const std::string& holder) {
+void ShareLedger::dropHolder(Millis now, const std::string& holder) {
   if (!holders_.contains(holder)) return;
   dropHoldings(now, holder, {});
   holders_.erase(holder);
@@ -125,7 +128,7 @@
   std::string& current = incarnations_[nameWithoutIncarnation(holder)];
   if (current == holder) return;
   current = holder;
-  for (const std::string& other : holders_.otherIncarnations(holder)) forgetHolder(now, other);
+  for (const std::string& earlier : holders_.otherIncarnations(holder)) dropHolder(now, earlier);
 }
 
 void ShareLedger::confirm(Millis now, const std::string& name) {
@@ -144,7 +147,7 @@
 
 GrantReply ShareLedger::handleReport(Millis now, const std::string& holder,
                                      const std::vector<ShareDemand>& demands, bool isFull) {
-  noteReport(now, holder);
+  recordReport(now, holder);
   GrantReply reply;
   if (!holders_.contains(holder)) {
     if (!isFull) {
@@ -162,9 +165,9 @@
 
 void ShareLedger::applyFullReport(Millis now, const std::string& holder,
                                   const std::vector<ShareDemand>& demands) {
-  std::set<std::string> named;
-  for (const ShareDemand& demand : demands) named.insert(demand.tenant);
-  dropHoldings(now, holder, named);
+  std::set<std::string> namedTenants;
+  for (const ShareDemand& demand : demands) namedTenants.insert(demand.tenant);
+  dropHoldings(now, holder, namedTenants);
   confirm(now, holder);
 }
 
@@ -185,14 +188,15 @@
   const double rate = roundedDownForWire(isRecovering(now) ? std::min(holding.confirmedRate, table.quota.rate)
                                                            : rateToGrant(table, holding));
   const double tokens = tokensToGrant(table, holding, refill_, timing_.wholeTokens);
-  bookGrant(table, holding, rate, tokens);
+  recordGrant(table, holding, rate, tokens);
   return {demand.tenant, tokens, rate, false};
 }
 
-void ShareLedger::bookGrant(GrantTable& table, Holding& holding, double rate, double tokens) {
+void ShareLedger::recordGrant(GrantTable& table, Holding& holding, double rate, double tokens) {
   table.update(holding, [&] {
     holding.offeredRate = rate;
-    // Waiting requests use their tokens at once, long before that is reported: those are gone from here on.
+    // Waiting requests use their tokens at once, long before the holder reports it, so these tokens are
+    // already counted as used.
     const double unserved = holding.unservedRequests();
     const double used = std::clamp(tokens, 0.0, unserved);
     holding.waitingRequests = unserved - used;
@@ -201,21 +205,22 @@
   if (tokens > 0) table.bucket -= tokens;
 }
 
-void ShareLedger::release(Millis now, const std::string& holder, const std::vector<ShareDemand>& rest) {
-  noteReport(now, holder);
+void ShareLedger::release(Millis now, const std::string& holder,
+                          const std::vector<ShareDemand>& finalReport) {
+  recordReport(now, holder);
   if (!holders_.contains(holder)) return;
-  std::set<std::string> keptTenants;
-  for (const ShareDemand& demand : rest)
-    if (releaseHolding(now, holder, demand)) keptTenants.insert(demand.tenant);
-  if (keptTenants.empty())
-    forgetHolder(now, holder);
+  std::set<std::string> retainedTenants;
+  for (const ShareDemand& demand : finalReport)
+    if (releaseHolding(now, holder, demand)) retainedTenants.insert(demand.tenant);
+  if (retainedTenants.empty())
+    dropHolder(now, holder);
   else
-    dropHoldings(now, holder, keptTenants);
+    dropHoldings(now, holder, retainedTenants);
 }
 
-// Whether the holder still answers for something of this tenant.
-bool ShareLedger::releaseHolding(Millis now, const std::string& holder, const ShareDemand& rest) {
-  const auto found = tables_.find(rest.tenant);
+// Returns whether the holder still has a reserve or a granted rate of this tenant.
+bool ShareLedger::releaseHolding(Millis now, const std::string& holder, const ShareDemand& finalDemand) {
+  const auto found = tables_.find(finalDemand.tenant);
   if (found == tables_.end()) return false;
   GrantTable& table = found->second;
   const auto entry = table.holdings.find(holder);
@@ -224,13 +229,14 @@
   fill(table, now);
   const double reserveBefore = holding.reserve;
   table.update(holding, [&] {
-    table.applyDemand(holding, rest, true);
-    holding.confirmedRate = rest.grantedRate;
+    table.applyDemand(holding, finalDemand, true);
+    holding.confirmedRate = finalDemand.grantedRate;
     holding.averageRequestRate = 0;
   });
-  table.bucket += std::clamp(rest.returnedTokens, 0.0, std::max(0.0, reserveBefore - rest.reserve));
+  table.bucket +=
+      std::clamp(finalDemand.returnedTokens, 0.0, std::max(0.0, reserveBefore - finalDemand.reserve));
   capBucket(table);
-  return rest.reserve > 0 || rest.grantedRate > 0;
+  return finalDemand.reserve > 0 || finalDemand.grantedRate > 0;
 }
 
 ShareLedger::Totals ShareLedger::totals(Millis now, const std::string& tenant) {
--- a/src/quota/share_ledger.hpp
+++ b/src/quota/share_ledger.hpp
@@ -1,16 +1,16 @@
-// Grants shares of the tenants' quotas to holders. The ledger keeps one token bucket a tenant and hands its
-// tokens out; each holder keeps a reserve, sized by its demand, and asks for more before that is empty, or
-// for just the tokens that it needs now. Beside that each is granted a part of the tenant's rate, which it
-// uses only while it is disconnected. What is in the bucket, in all reserves, and what unresponsive holders
-// may use never exceeds what the ledger has together, so the quota holds whoever is partitioned; reserves and
-// granted rates expire.
+// Grants shares of the tenants' quotas to holders. The ledger keeps one token bucket per tenant and grants
+// its tokens. Each holder keeps a reserve, sized by its demand, and requests more before the reserve is
+// empty, or requests just the tokens that it needs now. Each holder is also granted a part of the tenant's
+// rate, which it uses only while it is disconnected. The tokens in the bucket and in all reserves plus those
+// that unresponsive holders may use never exceed the tokens of the ledger, so the quota holds whichever
+// holders are partitioned. Reserves and granted rates expire.
 //
-// At the primary the buckets fill by the quotas, and the holders are relays; at a relay they fill by what the
-// primary grants, and the holders are gatekeepers. A report costs by the tenants that it names, whatever the
-// number of holders and tenants: sums are kept, and a holder is inspected by itself only where it is
-// unresponsive.
+// At the primary, the buckets are refilled at the rates of the quotas and the holders are relays. At a relay,
+// they are refilled by the grants of the primary and the holders are gatekeepers. The cost of a report
+// depends on the tenants that it names, not on the number of holders and tenants: sums over the holdings are
+// kept up to date, and only unresponsive holders are inspected one by one.
 //
-// A state machine without a clock, used by one thread; times are ms of the host's monotonic clock.
+// A state machine without a clock. Used by one thread. Times are ms of the host's monotonic clock.
 #pragma once
 
 #include <cstdint>
@@ -33,64 +33,67 @@
   using Millis = double;
   using Refill = BucketRefill;
 
-  // `unconfirmed`: names of holders that may use rates that an earlier ledger granted. During its recovery
-  // period, until all of them have reported or their leases have expired, only the rates of those that
-  // reported fill the buckets. Grants are numbered from `firstGrant` on; other ledgers' numbers must be far
-  // from these.
+  // `unconfirmed` names the holders that may be using rates granted by an earlier ledger. The recovery period
+  // lasts until all of them have reported or their leases have expired. During it, the buckets are refilled
+  // only at the rates of the holders that have reported. Grants are numbered from `firstGrant` on; the number
+  // ranges of other ledgers must not overlap with this one.
   ShareLedger(Refill refill, const ShareTiming& timing, Millis now, std::set<std::string> unconfirmed,
               std::uint64_t firstGrant);
 
-  // Replaces all quotas; tenants that are not named are dropped with their grants.
+  // Replaces all quotas. Drops tenants that are not named, with their grants.
   void setQuotas(Millis now, const std::map<std::string, Quota>& quotas);
   void setQuota(Millis now, const std::string& tenant, const Quota& quota);
-  // For `Refill::bySupply`. Below 0: taken away, though it may be granted already.
+  // Adds tokens to a bucket of a ledger with `Refill::bySupply`. Negative `tokens` are removed from the
+  // bucket, even if they are already granted.
   void addTokens(Millis now, const std::string& tenant, double tokens);
 
-  // A holder's report, and its grants. `isFull`: it names all that the holder has; it has nothing of other
-  // tenants. A holder that is not known, or whose lease expired, must send a full report first.
+  // Handles a holder's report and returns its grants. A full report (`isFull`) names all tenants of which the
+  // holder has a share. A holder that is unknown, or whose lease has expired, must first send a full report.
   GrantReply handleReport(Millis now, const std::string& holder, const std::vector<ShareDemand>& demands,
                           bool isFull);
 
-  // A holder shuts down: what it returns is there for others at once. What it still answers for (`reserve`
-  // and `grantedRate` of a tenant, sub-granted to holders that it has not heard of) expires with its lease.
-  void release(Millis now, const std::string& holder, const std::vector<ShareDemand>& rest);
+  // Handles a holder that shuts down. The tokens that it returns are available to others at once. `reserve`
+  // and `grantedRate` in `finalReport` are sub-granted to holders from which it received no report; they
+  // expire with its lease.
+  void release(Millis now, const std::string& holder, const std::vector<ShareDemand>& finalReport);
 
-  // This incarnation of a holder has heard of all that earlier ones sub-granted: their grants are dropped.
+  // Drops the grants of earlier incarnations of this holder. Call once this incarnation has received reports
+  // of all their sub-grants.
   void retireEarlierIncarnations(Millis now, const std::string& holder);
 
-  // All that earlier ledgers granted to this holder has been reported here.
+  // Records that the holder has reported all grants of earlier ledgers to this one.
   void confirm(Millis now, const std::string& name);
 
-  // Of one tenant, the ledger and its holders together.
+  // One tenant's totals over the ledger and its holders.
   struct Totals {
-    double requestRate = 0;          // requests a second
+    double requestRate = 0;          // requests per second
     double reserve = 0;              // tokens in the bucket, in reserves and in transit
     double waitingRequests = 0;      // requests without a token
-    double grantedRate = 0;          // tokens a second
-    double bucket = 0;               // tokens of `reserve` that are not granted
-    double requestedTokens = 0;      // of the responsive holders
-    double unresponsiveReserve = 0;  // tokens of `reserve` that the others hold: they serve nobody here
+    double grantedRate = 0;          // tokens per second
+    double bucket = 0;               // the tokens of `reserve` that are not granted
+    double requestedTokens = 0;      // by responsive holders
+    double unresponsiveReserve = 0;  // tokens of `reserve` at unresponsive holders
   };
   Totals totals(Millis now, const std::string& tenant);
 
   std::size_t holderCount(Millis now) const;
-  // Whether no incarnation of this holder can have anything: none reported for the time of a lease.
+  // Returns whether no incarnation of this holder can have a grant, because none has reported within a lease.
   bool hasExpired(Millis now, const std::string& name) const;
-  // Tables and holdings inspected so far: a measure of the work done.
+  // Returns the number of tables and holdings inspected so far, a measure of the work done.
   std::uint64_t inspectedCount() const { return inspectedCount_; }
 
  private:
   bool isRecovering(Millis now) const { return !unconfirmed_.empty() && now < recoversUntil_; }
 
-  void noteReport(Millis now, const std::string& holder);
-  void forgetHolder(Millis now, const std::string& holder);
+  void recordReport(Millis now, const std::string& holder);
+  void dropHolder(Millis now, const std::string& holder);
   void dropHoldings(Millis now, const std::string& holder, const std::set<std::string>& exceptTenants);
   void applyFullReport(Millis now, const std::string& holder, const std::vector<ShareDemand>& demands);
-  bool releaseHolding(Millis now, const std::string& holder, const ShareDemand& rest);
+  bool releaseHolding(Millis now, const std::string& holder, const ShareDemand& finalDemand);
 
   ShareGrant grantFor(Millis now, const std::string& holder, const ShareDemand& demand,
                       std::uint64_t grantNumber);
-  static void bookGrant(GrantTable& table, Holding& holding, double rate, double tokens);
+  static void recordGrant(GrantTable& table, Holding& holding, double rate, double tokens);
 
   void fillAll(Millis now);
   void fill(GrantTable& table, Millis now);
@@ -106,7 +109,7 @@
   std::set<std::string> unconfirmed_;
   std::unordered_map<std::string, GrantTable> tables_;  // by tenant
   HolderActivity holders_;
-  std::map<std::string, std::string> incarnations_;  // by holder's name: that which retired the earlier ones
+  std::map<std::string, std::string> incarnations_;  // by holder's name: the newest, which retired the others
   std::uint64_t lastGrant_;
   std::uint64_t inspectedCount_ = 0;
 };
--- a/src/quota/share_relay.cpp
+++ b/src/quota/share_relay.cpp
@@ -8,14 +8,17 @@
 namespace lilacmux {
 namespace {
 
-constexpr double kExhaustedFor = 50;  // ms until the primary is asked again for tokens that it did not have
-constexpr double kLowTokens = 1;      // in the bucket, below which more is requested at once
-constexpr double kLowSeconds = 0.1;   // and seconds of demand
-constexpr double kDisconnectedBurst = 4;  // tokens that a granted rate alone saves up, beside a second of it
-constexpr double kReportedChange = 0.05;  // of a granted rate: smaller changes are not reported
-constexpr double kTokenRounding = 1e-6;
-constexpr double kWireRounding = 0.01;                    // tokens
-constexpr std::uint64_t kGrantsPerIncarnation = 1 << 24;  // numbers that one ledger may use
+// Time until the primary is asked again for tokens that it did not have.
+constexpr double kExhaustedDurationMs = 50;
+// A bucket is low, and more tokens are requested at once, if it is below the sum of these.
+constexpr double kLowBucketTokens = 1;
+constexpr double kLowBucketSeconds = 0.1;  // seconds of demand
+// Capacity of a bucket while disconnected, in addition to one second of the granted rate.
+constexpr double kDisconnectedBurstTokens = 4;
+constexpr double kReportedRateChange = 0.05;  // fraction of a granted rate; smaller changes are not reported
+constexpr double kTokenTolerance = 1e-6;
+constexpr double kWireToleranceTokens = 0.01;              // for the rounding on the wire
+constexpr std::uint64_t kGrantNumbersPerLedger = 1 << 24;  // size of the range that one ledger may use
 
 }  // namespace
 
@@ -29,7 +32,7 @@
   ledger_.emplace(ShareLedger::Refill::bySupply, downstream_, now, std::set<std::string>{}, firstGrant_);
 }
 
-// A bucket here has no limit of its own: it holds what was granted.
+// The buckets of the sub-grants have no capacity limit: they hold all tokens that the primary granted.
 void ShareRelay::setSubGrantRate(Millis now, const std::string& tenant, double rate) {
   ledger_->setQuota(now, tenant, {rate, std::numeric_limits<double>::infinity()});
 }
@@ -39,19 +42,19 @@
   const auto [from, to] = disconnectedSince(grant.filledTo, now);
   if (to <= from) return;
   grant.filledTo = to;
-  const double room = kDisconnectedBurst + grant.rate - ledger_->totals(now, tenant).bucket;
+  const double room = kDisconnectedBurstTokens + grant.rate - ledger_->totals(now, tenant).bucket;
   ledger_->addTokens(now, tenant, std::clamp(grant.rate * (to - from) / 1000, 0.0, std::max(0.0, room)));
 }
 
-void ShareRelay::noteChange(Millis now, const std::string& tenant) {
-  changed_.insert(tenant);
+void ShareRelay::recordChange(Millis now, const std::string& tenant) {
+  changedTenants_.insert(tenant);
   const Grant& grant = grants_[tenant];
   const auto totals = ledger_->totals(now, tenant);
-  const bool isLow = totals.bucket < kLowTokens + kLowSeconds * totals.requestRate;
-  if (isLow && now >= grant.exhaustedUntil) low_.insert(tenant);
+  const bool isLow = totals.bucket < kLowBucketTokens + kLowBucketSeconds * totals.requestRate;
+  if (isLow && now >= grant.exhaustedUntil) lowTenants_.insert(tenant);
 }
 
-// --- Towards gatekeepers
+// --- Interface to the gatekeepers
 
 GrantReply ShareRelay::handleReport(Millis now, const std::string& gatekeeper,
                                     const std::vector<ShareDemand>& demands, bool isFull) {
@@ -63,20 +66,21 @@
   for (std::size_t i = 0; i < demands.size(); ++i) {
     const ShareDemand& demand = demands[i];
     ShareGrant& grant = reply.grants[i];
-    noteChange(now, demand.tenant);
-    const bool lacksTokens =
-        demand.waitingRequests > 0 && demand.reserve + grant.tokens + kTokenRounding < demand.waitingRequests;
+    recordChange(now, demand.tenant);
+    const bool lacksTokens = demand.waitingRequests > 0 &&
+                             demand.reserve + grant.tokens + kTokenTolerance < demand.waitingRequests;
     grant.moreExpected = lacksTokens && !isDisconnected(now) && now >= grants_[demand.tenant].exhaustedUntil;
   }
   return reply;
 }
 
-void ShareRelay::release(Millis now, const std::string& gatekeeper, const std::vector<ShareDemand>& rest) {
-  ledger_->release(now, gatekeeper, rest);
-  for (const ShareDemand& demand : rest) changed_.insert(demand.tenant);
+void ShareRelay::release(Millis now, const std::string& gatekeeper,
+                         const std::vector<ShareDemand>& finalReport) {
+  ledger_->release(now, gatekeeper, finalReport);
+  for (const ShareDemand& demand : finalReport) changedTenants_.insert(demand.tenant);
 }
 
-// --- Towards the primary
+// --- Interface to the primary
 
 std::vector<ShareDemand> ShareRelay::finalDemands(Millis now) {
   std::vector<ShareDemand> out;
@@ -100,14 +104,14 @@
   return out;
 }
 
-// Those of the scope; they count as reported.
+// Returns the tenants of the scope and marks them as reported.
 std::set<std::string> ShareRelay::tenantsToReport(ReportScope scope) {
-  std::set<std::string> low = std::exchange(low_, {});
+  std::set<std::string> low = std::exchange(lowTenants_, {});
   if (scope == ReportScope::urgent) {
-    for (const std::string& tenant : low) changed_.erase(tenant);
+    for (const std::string& tenant : low) changedTenants_.erase(tenant);
     return low;
   }
-  std::set<std::string> changed = std::exchange(changed_, {});
+  std::set<std::string> changed = std::exchange(changedTenants_, {});
   if (scope == ReportScope::delta) {
     changed.insert(low.begin(), low.end());
     return changed;
@@ -122,7 +126,7 @@
   const auto totals = ledger_->totals(now, tenant);
   const double requestRate = std::max(0.0, totals.requestRate);
   grant.isInFlight = true;
-  // Waiting requests are asked for beside the reserve, as far as their tokens are not here.
+  // Tokens for waiting requests that the bucket does not cover are requested in addition to the reserve.
   grant.urgentTokens = std::max(0.0, totals.waitingRequests - std::max(0.0, totals.bucket));
   ShareDemand out;
   out.tenant = tenant;
@@ -136,12 +140,13 @@
   return out;
 }
 
-// Where its grants had expired, so had all sub-grants, and every gatekeeper sends a full report.
+// If the relay's grants have expired, so have all sub-grants. The relay then starts a new ledger, to which
+// every gatekeeper must send a full report.
 void ShareRelay::responseReceived(Millis now, Millis sentAt, Millis leaseUntil) {
   if (isDisconnected(now))
     for (auto& [tenant, grant] : grants_) fillDisconnected(now, tenant);
   if (hadLease() && isExpired(now)) {
-    firstGrant_ += kGrantsPerIncarnation;
+    firstGrant_ += kGrantNumbersPerLedger;
     startLedger(now);
     for (auto& [tenant, grant] : grants_) {
       grant = {};
@@ -152,21 +157,22 @@
 }
 
 void ShareRelay::applyGrant(Millis now, const ShareGrant& grant, std::uint64_t grantNumber) {
-  Grant& held = grants_[grant.tenant];
-  held.isInFlight = false;
-  held.number = grantNumber;
-  const bool rateChanged = std::abs(grant.rate - held.rate) > kReportedChange * held.rate;
-  if (grant.tokens != 0 || rateChanged) changed_.insert(grant.tenant);
-  held.rate = grant.rate;
+  Grant& current = grants_[grant.tenant];
+  current.isInFlight = false;
+  current.number = grantNumber;
+  const bool hasRateChanged = std::abs(grant.rate - current.rate) > kReportedRateChange * current.rate;
+  if (grant.tokens != 0 || hasRateChanged) changedTenants_.insert(grant.tenant);
+  current.rate = grant.rate;
   setSubGrantRate(now, grant.tenant, grant.rate);
   ledger_->addTokens(now, grant.tenant, grant.tokens);
-  const bool isExhausted = held.urgentTokens > 0 && grant.tokens < held.urgentTokens - kWireRounding;
-  if (isExhausted) held.exhaustedUntil = now + kExhaustedFor;
+  const bool isExhausted =
+      current.urgentTokens > 0 && grant.tokens < current.urgentTokens - kWireToleranceTokens;
+  if (isExhausted) current.exhaustedUntil = now + kExhaustedDurationMs;
 }
 
 void ShareRelay::requestFailed() {
   for (auto& [tenant, grant] : grants_)
-    if (std::exchange(grant.isInFlight, false)) changed_.insert(tenant);
+    if (std::exchange(grant.isInFlight, false)) changedTenants_.insert(tenant);
 }
 
 }  // namespace lilacmux
--- a/src/quota/share_timing.hpp
+++ b/src/quota/share_timing.hpp
@@ -1,24 +1,27 @@
-// Times and sizes that a ledger and its grant holders both go by.
+// Timing and sizing parameters that a ledger and its grant holders share. The defaults apply between the
+// primary and its relays.
 #pragma once
 
 namespace lilacmux {
 
 struct ShareTiming {
-  double lease = 4000;             // ms after the holder last asked, a reserve and a granted rate expire
-  double disconnectedAfter = 600;  // ms after it last asked, a holder without a reply uses its granted rate
-  double unresponsiveAfter = 450;  // ms after which the ledger counts on that; less than `disconnectedAfter`
-  double minReserve = 1;           // tokens that an idle holder is to have
-  bool wholeTokens = false;        // a reserve of less than one token is rounded up to one
-  double reserveThreshold = 0;     // tokens; a reserve that would be smaller than this is none
-  double reserveSeconds = 0.25;    // seconds of its demand that a reserve covers
-  double reserveDeviations = 1;    // and so many standard deviations (of a Poisson process) of it
+  double lease = 4000;             // ms after the last report until a reserve and a granted rate expire
+  double disconnectedAfter = 600;  // ms after the last answered report until the holder uses its granted rate
+  // ms after the last report until the ledger assumes that the holder uses its granted rate; less than
+  // `disconnectedAfter`.
+  double unresponsiveAfter = 450;
+  double minReserve = 1;         // tokens in the reserve of an idle holder
+  bool wholeTokens = false;      // a reserve of less than one token is rounded up to one
+  double reserveThreshold = 0;   // tokens; a smaller reserve is rounded down to none
+  double reserveSeconds = 0.25;  // seconds of the holder's demand that a reserve covers
+  double reserveDeviations = 1;  // standard deviations (of a Poisson process) added to the reserve
 };
 
-// Between a relay and its gatekeepers; between the primary and its relays the defaults hold.
+// Returns the parameters that apply between a relay and its gatekeepers.
 ShareTiming gatekeeperTiming();
 
-// Tokens that a holder with this demand (requests a second) is to have in reserve; 0: it fetches a token when
-// it needs one.
+// Returns the target reserve, in tokens, of a holder with `requestRate` requests per second. If it is 0, the
+// holder requests each token when it needs one.
 double reserveFor(const ShareTiming& timing, double requestRate);
 
 }  // namespace lilacmux
