--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 
 constexpr auto kTickInterval = 100ms;
-// Leaves time to send the pending messages, and for each gatekeeper to send one more request.
+// Leaves time to send the pending messages, and for each gateway to send one more request.
 constexpr auto kDrainDelay = 350ms;
 
 // Returns `settings`. Throws SettingsError if they lack what the control role requires.
--- a/src/control/control_node.hpp
+++ b/src/control/control_node.hpp
@@ -1,5 +1,5 @@
-// A process in the control role: a member of the core, and a relay for nearby gatekeepers. Operators reach it
-// over HTTP; gatekeepers, relays and the other members over frames (net/frame.hpp).
+// A process in the control role: a member of the core, and a relay for nearby gateways. Operators reach it
+// over HTTP; gateways, relays and the other members over frames (net/frame.hpp).
 //
 // ControlNode owns, connects and drains these components, and drives them by one timer:
 //   PeerDiscovery          finds the other control processes and the core
@@ -40,7 +40,7 @@
 
   // Applies the seeds and the platform's address and request rate; other settings need a restart.
   void reload(const NodeSettings& settings);
-  // Resigns as the primary, redirects gatekeepers to other relays, waits until pending messages have been
+  // Resigns as the primary, redirects gateways to other relays, waits until pending messages have been
   // sent, then calls `done`.
   void drain(std::function<void()> done);
 
--- a/src/control/control_status.cpp
+++ b/src/control/control_status.cpp
@@ -68,7 +68,7 @@
     out["changes"] = {{"place", status.primary->logPosition}, {"revision", status.primary->revision}};
     out["relays"] = status.primary->relays;
   }
-  out["relay"] = {{"gatekeepers", status.relay.gatekeepers}, {"revision", status.relay.revision}};
+  out["relay"] = {{"gatekeepers", status.relay.gatewayCount}, {"revision", status.relay.revision}};
   return out.dump();
 }
 
@@ -81,7 +81,7 @@
   out.counter("lilacmux_primary_total", "Times that this one became the primary",
               static_cast<double>(status.primacyCount));
   out.gauge("lilacmux_relay_gatekeepers", "Gatekeepers that ask here",
-            static_cast<double>(status.relay.gatekeepers));
+            static_cast<double>(status.relay.gatewayCount));
   if (status.core) addCore(out, *status.core, status.machineFailures);
   if (status.primary)
     out.gauge("lilacmux_relays", "Relays that ask the primary", static_cast<double>(status.primary->relays));
--- a/src/control/control_status.hpp
+++ b/src/control/control_status.hpp
@@ -33,7 +33,7 @@
 };
 
 struct RelayStatus {
-  std::size_t gatekeepers = 0;
+  std::size_t gatewayCount = 0;
   std::uint64_t revision = 0;
 };
 
@@ -45,7 +45,7 @@
   std::optional<PrimaryRole::Status> primary;  // none unless this node is the primary
   RelayStatus relay;
   // Since the start of the process.
-  std::uint64_t requests = 0;  // frames received from gatekeepers, relays and members
+  std::uint64_t requests = 0;  // frames received from gateways, relays and members
   std::uint64_t acknowledgedChanges = 0;
   std::uint64_t primacyCount = 0;
 };
--- a/src/control/follow_service.hpp
+++ b/src/control/follow_service.hpp
@@ -1,4 +1,4 @@
-// Answers the follow requests of gatekeepers and relays: as the primary, as a relay, or with a redirect.
+// Answers the follow requests of gateways and relays: as the primary, as a relay, or with a redirect.
 // Compresses the large parts of a response if the follower accepts it, and paces them to the capacity of the
 // machine's link.
 //
--- a/src/control/internal_api.cpp
+++ b/src/control/internal_api.cpp
@@ -8,7 +8,7 @@
 namespace lilacmux {
 namespace {
 
-constexpr std::size_t kMaxConnections = 512;  // from gatekeepers, relays and members
+constexpr std::size_t kMaxConnections = 512;  // from gateways, relays and members
 
 Frame acknowledgement() { return {{{"t", "heard"}}, {}}; }
 
--- a/src/control/internal_api.hpp
+++ b/src/control/internal_api.hpp
@@ -1,5 +1,5 @@
 // Answers the frames of the other processes of the system: announcements of control processes, follow
-// requests of gatekeepers and relays, and messages of core members.
+// requests of gateways and relays, and messages of core members.
 //
 // Runs on the thread of the io_context. The io_context and the components that it refers to must outlive it.
 #pragma once
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -163,7 +163,7 @@
   out.machineFailures = machineFailures_;
   if (replica) out.core = coreStatus(*replica, self_, now);
   out.primary = components_.primary.status(now);
-  out.relay = {components_.relay.gatekeepers(now), components_.relay.revision()};
+  out.relay = {components_.relay.gatewayCount(now), components_.relay.revision()};
   out.requests = components_.internalApi.requestCount();
   out.acknowledgedChanges = components_.configuration.acknowledgedCount();
   out.primacyCount = components_.primary.activationCount();
--- a/src/control/relay_service.hpp
+++ b/src/control/relay_service.hpp
@@ -1,4 +1,4 @@
-// The relay of a control process for nearby gatekeepers, with the follower that keeps the relay up to date. A
+// The relay of a control process for nearby gateways, with the follower that keeps the relay up to date. A
 // process without a replica relays nothing: its follower only finds the other relays.
 //
 // Runs on the thread of the io_context, which must outlive it.
@@ -25,7 +25,7 @@
   using Millis = double;
 
   enum class Mode {
-    relay,   // follows the primary and serves gatekeepers
+    relay,   // follows the primary and serves gateways
     locator  // only finds the relays
   };
 
@@ -39,10 +39,10 @@
   // Passes the newest view of the core to the follower if its epoch has changed.
   void updateCore(const CoreView& core);
 
-  // Answers a gatekeeper. A response with epoch 0 redirects the gatekeeper to the core that it names.
+  // Answers a gateway. A response with epoch 0 redirects the gateway to the core that it names.
   FollowResponse answer(Millis now, const FollowRequest& request, const CoreView& core);
 
-  // Redirects gatekeepers to other relays from here on.
+  // Redirects gateways to other relays from here on.
   void beginDrain() { relay_.drain(); }
   // Reports to the primary that this relay stops. Calls `done` once the primary has responded or the request
   // has timed out.
@@ -50,7 +50,7 @@
 
   // Returns the log as received from the primary.
   const ChangeLog& changeLog() const { return relay_.log(); }
-  std::size_t gatekeepers(Millis now) const { return relay_.gatewayCount(now); }
+  std::size_t gatewayCount(Millis now) const { return relay_.gatewayCount(now); }
   std::uint64_t revision() const { return relay_.revision(); }
   // Returns the relays found in mode `locator`.
   const std::vector<RelayEndpoint>& knownRelays() const { return locator_.relays(); }
--- a/src/discovery/peer_directory.cpp
+++ b/src/discovery/peer_directory.cpp
@@ -7,7 +7,7 @@
 namespace lilacmux {
 namespace {
 
-// Each zone has a few control processes, however many gatekeepers there are (deploy/system.toml).
+// Each zone has a few control processes, however many gateways there are (deploy/system.toml).
 constexpr std::size_t kMaxPeers = 128;
 constexpr std::size_t kMaxAnnouncedPeers = 32;
 constexpr unsigned kMaxBackoffDoublings = 8;
