--- a/src/control/control_node.hpp
+++ b/src/control/control_node.hpp
@@ -40,8 +40,9 @@
 
   // Applies the seeds and the platform's address and request rate; other settings need a restart.
   void reload(const NodeSettings& settings);
-  // Resigns as the primary, redirects gateways to other relays, waits until pending messages have been
-  // sent, then calls `done`.
+  // Resigns as the primary and redirects gateways to other relays. Then waits for a fixed time
+  // (`kDrainDelay`), whether or not all messages have been sent by then. Then calls `done` or, if this node
+  // has a replica, detaches the relay (`RelayService::finishDrain`), which calls `done`.
   void drain(std::function<void()> done);
 
  private:
--- a/src/control/primary_role.hpp
+++ b/src/control/primary_role.hpp
@@ -58,8 +58,10 @@
   void fillResponse(Millis now, const FollowRequest& request, const ReplicatedState& committed,
                     FollowResponse& response);
   // Proposes to replicate the queued names, if there are any and the replica can propose: the next primary
-  // must receive a report from each named grant holder first. The same change drops holders whose grants
-  // have expired.
+  // must receive a report from each named grant holder first. The same change drops the holders for which
+  // `PrimaryService::hasExpired` is true: none during the recovery period, and after it those that the ledger
+  // of quotas does not know. That ledger does not know a holder before its first full report, nor after the
+  // holder has released all grants or its lease has expired.
   void proposeGrantHolders(Millis now, Replica& replica);
 
   // Returns nothing while the role is not active.
--- a/src/quota/share_ledger.hpp
+++ b/src/quota/share_ledger.hpp
@@ -35,8 +35,10 @@
 
   // `unconfirmed` names the holders that may be using rates granted by an earlier ledger. The recovery period
   // lasts until all of them have reported or their leases have expired. During it, the buckets are refilled
-  // only at the rates of the holders that have reported. Grants are numbered from `firstGrant` on; the number
-  // ranges of other ledgers must not overlap with this one.
+  // only at the rates of the holders that have reported. Each report of a known holder takes the next grant
+  // number; the first is `firstGrant` + 1. A report confirms a grant by its number alone, so ledgers that may
+  // receive reports of each other's grants must not use the same numbers. The ledger does not limit its
+  // range: callers must choose values of `firstGrant` that are far enough apart.
   ShareLedger(Refill refill, const ShareTiming& timing, Millis now, std::set<std::string> unconfirmed,
               std::uint64_t firstGrant);
 
@@ -66,13 +68,15 @@
 
   // One tenant's totals over the ledger and its holders.
   struct Totals {
-    double requestRate = 0;          // requests per second
-    double reserve = 0;              // tokens in the bucket, in reserves and in transit
-    double waitingRequests = 0;      // requests without a token
-    double grantedRate = 0;          // tokens per second
-    double bucket = 0;               // the tokens of `reserve` that are not granted
-    double requestedTokens = 0;      // by responsive holders
-    double unresponsiveReserve = 0;  // tokens of `reserve` at unresponsive holders
+    double requestRate = 0;      // requests per second
+    double reserve = 0;          // tokens in the bucket, in reserves and in transit
+    double waitingRequests = 0;  // requests without a token
+    double grantedRate = 0;      // tokens per second
+    double bucket = 0;           // the tokens of `reserve` that are not granted
+    double requestedTokens = 0;  // by responsive holders
+    // The tokens of `reserve` at unresponsive holders. Because their holders are unresponsive, these tokens
+    // serve no request here.
+    double unresponsiveReserve = 0;
   };
   Totals totals(Millis now, const std::string& tenant);
 
